--- a/packages/bench/src/BenchLinks.ts
+++ b/packages/bench/src/BenchLinks.ts
@@ -1,7 +1,7 @@
 /** Costs of a bench's links, worked out once for each pair of racks. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { LinkCost } from '@skylarksail/routing/RoutingLinks';
-import { getEnginePlace, getLinkCost } from '@skylarksail/routing/RoutingLinks';
+import { getEngineLocation, getLinkCost } from '@skylarksail/routing/RoutingLinks';
 import type { BenchShape } from './ThroughputShapes.js';
 
 /** Gives the cost of the link between two engines of a shape. */
@@ -18,8 +18,8 @@
     }
     const cost = getLinkCost(
       shape.links,
-      getEnginePlace(from, regions),
-      getEnginePlace(to, regions),
+      getEngineLocation(from, regions),
+      getEngineLocation(to, regions),
     );
     known.set(name, cost);
     return cost;
--- a/packages/bench/src/IdleBench.ts
+++ b/packages/bench/src/IdleBench.ts
@@ -95,7 +95,7 @@
     readContent,
     readBackendKey: (key) => (key.startsWith(BACKENDS) ? key.slice(BACKENDS.length) : null),
     askPeer: () => Promise.resolve({ kind: 'silent' }),
-    askNews: () => Promise.resolve({ kind: 'silent' }),
+    askForUpdates: () => Promise.resolve({ kind: 'silent' }),
     askGrant: () => Promise.resolve(0),
     createBackends: createIdleBackends,
     logger: pino({ level: 'silent' }),
--- a/packages/bench/src/RecoveryInstance.ts
+++ b/packages/bench/src/RecoveryInstance.ts
@@ -8,8 +8,8 @@
 import type {
   AttemptOutcome,
   ChainChoice,
-  ChainWish,
-  RepairWish,
+  ChainRequest,
+  RepairRequest,
   RequestSink,
   RequestSpec,
 } from '@skylarksail/requests/RequestTypes';
@@ -20,7 +20,7 @@
   recordCallStart,
   recordFirstToken,
 } from '@skylarksail/routing/RoutingCalls';
-import type { ChainAsk } from '@skylarksail/routing/RoutingChoice';
+import type { ChainQuery } from '@skylarksail/routing/RoutingChoice';
 import { selectChain } from '@skylarksail/routing/RoutingChoice';
 import type { StreamPace } from '@skylarksail/routing/RoutingHops';
 import { isOnSlowHop, recordPaces } from '@skylarksail/routing/RoutingHops';
@@ -53,8 +53,8 @@
 
 /** Routing of one instance, fed by lagging reports. */
 interface InstanceRouting {
-  chooseChain(wish: ChainWish): ChainChoice;
-  chooseRepair(wish: RepairWish): ChainChoice;
+  chooseChain(wish: ChainRequest): ChainChoice;
+  chooseRepair(wish: RepairRequest): ChainChoice;
   getBootId(engine: EngineId): string | null;
   notePaces(paces: readonly StreamPace[]): void;
   isSlow(chain: Chain): boolean;
@@ -68,7 +68,7 @@
   let state = options.routing;
   let nextPlanAt = 0;
 
-  function createAsk({ spec, contextTokens, isBegun, avoid }: ChainWish): ChainAsk {
+  function createAsk({ spec, contextTokens, isBegun, avoid }: ChainRequest): ChainQuery {
     return {
       variant: spec.variant,
       layerCount,
--- a/packages/bench/src/ThroughputEntry.ts
+++ b/packages/bench/src/ThroughputEntry.ts
@@ -3,7 +3,7 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 import type { EngineCall, OpenEngineCall } from '@skylarksail/requests/RequestPorts';
-import type { ChainAsk } from '@skylarksail/routing/RoutingChoice';
+import type { ChainQuery } from '@skylarksail/routing/RoutingChoice';
 import type { RoutedCall } from '@skylarksail/routing/RoutingState';
 import type { BenchPolicy } from './ThroughputPolicies.js';
 import type { BenchWork } from './ThroughputShapes.js';
@@ -84,7 +84,7 @@
     }
   }
 
-  function createBenchAsk(req: BenchRequest): ChainAsk {
+  function createBenchAsk(req: BenchRequest): ChainQuery {
     const { prefixTokens, priority } = req.work;
     return {
       variant: BENCH_VARIANT,
--- a/packages/bench/src/ThroughputPolicies.ts
+++ b/packages/bench/src/ThroughputPolicies.ts
@@ -5,7 +5,7 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import type { ChainAsk } from '@skylarksail/routing/RoutingChoice';
+import type { ChainQuery } from '@skylarksail/routing/RoutingChoice';
 import { selectChain } from '@skylarksail/routing/RoutingChoice';
 import { refreshPlans } from '@skylarksail/routing/RoutingPlans';
 import type { RoutedCall, RoutingState } from '@skylarksail/routing/RoutingState';
@@ -21,7 +21,7 @@
 /** How one entry instance chooses; it hears of its own calls and of late load reports. */
 export interface BenchPolicy {
   /** A chain, or null while the request has to wait. */
-  choose(ask: ChainAsk): RoutedCall | null;
+  choose(ask: ChainQuery): RoutedCall | null;
   onStart(call: RoutedCall, now: Millis): void;
   onFirstToken(call: RoutedCall, now: Millis): void;
   onEnd(call: RoutedCall, firstTokenMs: Millis, tokenGapMs: Millis | null, now: Millis): void;
--- a/packages/bench/src/ThroughputScale.ts
+++ b/packages/bench/src/ThroughputScale.ts
@@ -2,7 +2,7 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
-import type { ChainAsk } from '@skylarksail/routing/RoutingChoice';
+import type { ChainQuery } from '@skylarksail/routing/RoutingChoice';
 import { selectChain } from '@skylarksail/routing/RoutingChoice';
 import { refreshPlans } from '@skylarksail/routing/RoutingPlans';
 import type { RoutingState } from '@skylarksail/routing/RoutingState';
@@ -78,7 +78,7 @@
     return (readClock() - start) / rounds;
   }
 
-  function createAsk(): ChainAsk {
+  function createAsk(): ChainQuery {
     return {
       variant: BENCH_VARIANT,
       layerCount: 48,
--- a/packages/daemon/src/DaemonRouting.ts
+++ b/packages/daemon/src/DaemonRouting.ts
@@ -5,17 +5,21 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, EngineId, Millis, Result, Unregister } from '@skylarksail/core/CoreTypes';
 import type { ManifestView } from '@skylarksail/manifest/ManifestView';
-import type { LinkWatch } from '@skylarksail/requests/RouterTypes';
+import type { LinkMonitor } from '@skylarksail/requests/RouterTypes';
 import type {
   AttemptOutcome,
   ChainChoice as RequestChoice,
-  ChainWish,
+  ChainRequest,
   ChooseChain,
   ChooseRepair,
 } from '@skylarksail/requests/RequestTypes';
 import type { EngineCallListener, OpenEngineCall } from '@skylarksail/requests/RequestPorts';
 import { selectChain } from '@skylarksail/routing/RoutingChoice';
-import type { ChainAsk, ChainCandidate, RoutingRefusal } from '@skylarksail/routing/RoutingChoice';
+import type {
+  ChainQuery,
+  ChainCandidate,
+  RoutingRefusal,
+} from '@skylarksail/routing/RoutingChoice';
 import {
   recordCallEnd,
   recordCallStart,
@@ -65,7 +69,7 @@
   /** The same calls, with their times between tokens noted while they run. */
   watchGaps(open: OpenEngineCall): OpenEngineCall;
   /** What streams that share a link tell of it. */
-  readonly links: LinkWatch;
+  readonly links: LinkMonitor;
   /** Starts working out capacity shares anew as engines change. */
   start(): Unregister;
   getState(): RoutingState;
@@ -89,7 +93,7 @@
   const { domain, timers, random, decisions } = options;
   let state = createRoutingState({ domain });
 
-  function createAsk({ spec, contextTokens, avoid, isBegun }: ChainWish): ChainAsk {
+  function createAsk({ spec, contextTokens, avoid, isBegun }: ChainRequest): ChainQuery {
     const { variant, layerCount, priority, maxTokens } = spec;
     const answerTokens = state.models.get(variant.model)?.usualAnswerTokens;
     return {
@@ -112,8 +116,8 @@
 
   /** Keeps off engines that are being emptied, but takes them rather than refuse the request. */
   function avoidDraining<T>(
-    ask: ChainAsk,
-    select: (wished: ChainAsk) => Result<T, RoutingRefusal>,
+    ask: ChainQuery,
+    select: (wished: ChainQuery) => Result<T, RoutingRefusal>,
   ): Result<T, RoutingRefusal> {
     const draining = options.listDraining();
     if (draining.length === 0) {
@@ -127,7 +131,7 @@
   /** Records the chosen chain's work, and takes it off again when the attempt is over. */
   function startCall(
     chain: Chain,
-    ask: ChainAsk,
+    ask: ChainQuery,
     cachedTokens: number,
     importFrom: readonly Stage[],
   ): RequestChoice {
@@ -194,7 +198,9 @@
       refusal.kind === 'cut-off'
         ? {
             own: refusal.own,
-            abroad: refusal.abroad.map(({ domain: name, why }) => `${name} ${why}`).join(', '),
+            abroad: refusal.abroad
+              .map(({ domain: name, reason: why }) => `${name} ${why}`)
+              .join(', '),
           }
         : {};
     decisions.record({ request, decision: 'no-chain-found', reason: kind, ...weighed });
--- a/packages/placement/src/__tests__/PlacementMeasure.ts
+++ b/packages/placement/src/__tests__/PlacementMeasure.ts
@@ -2,7 +2,7 @@
  * Figures of placement, one JSON line a case: `node packages/placement/dist/__tests__/PlacementMeasure.js`.
  * The bound is what the engines could do if every one were busy all the time: no placement can do more.
  */
-import { FREE_LINK } from '@skylarksail/routing/RoutingLinks';
+import { UNLIMITED_LINK } from '@skylarksail/routing/RoutingLinks';
 import { createPlan } from '@skylarksail/routing/RoutingPlan';
 import { planPlacement } from '../PlacementPlan.js';
 import type { PlacementState } from '../PlacementTypes.js';
@@ -47,7 +47,7 @@
         const link = state.manifest.findLink([from.rack], [to.rack]);
         const key = `${from.rack}>${to.rack}`;
         return from.rack === to.rack || !link
-          ? FREE_LINK
+          ? UNLIMITED_LINK
           : { key, bytesPerSecond: link.bytesPerSecond, delayMs: 0 };
       },
     });
--- a/packages/relay/src/RelayConfirm.ts
+++ b/packages/relay/src/RelayConfirm.ts
@@ -11,15 +11,15 @@
   readonly timers: TimerService;
   readonly store: Pick<StoreRangePort, 'watchRange'>;
   /** Revision up to which everything is known. */
-  readonly getComplete: () => number;
+  readonly getCompleteRevision: () => number;
   /** Takes in what has changed since. */
   readonly onEvents: (events: readonly StoreEvent[]) => void;
   /** All that the store held so long ago is known. */
-  readonly onKnown: (age: Millis) => void;
+  readonly onSynced: (age: Millis) => void;
 }
 
 /** Asks the store; `done` hears whether all that it held just now is known here. */
-export type ConfirmNews = (done: (isCurrent: boolean) => void) => void;
+export type ConfirmCurrent = (done: (isCurrent: boolean) => void) => void;
 
 /** A caller waits so long: it is told to come back a little later otherwise. */
 const ANSWER_TIME: Millis = 400;
@@ -27,20 +27,22 @@
 const FAILURE_PAUSE: Millis = 500;
 
 /** Creates the question; all who ask while one is on its way get its answer. */
-export function createRelayConfirm(options: RelayConfirmOptions): ConfirmNews {
+export function createRelayConfirm(options: RelayConfirmOptions): ConfirmCurrent {
   const { timers, store } = options;
   let waiting: ((isCurrent: boolean) => void)[] = [];
   let pausedUntil = -Infinity;
 
   async function ask(): Promise<boolean> {
     const askedAt = timers.now();
-    const outcome = await store.watchRange('', options.getComplete(), 0, { timeout: ANSWER_TIME });
+    const outcome = await store.watchRange('', options.getCompleteRevision(), 0, {
+      timeout: ANSWER_TIME,
+    });
     if (outcome.kind !== 'done' || outcome.value.kind !== 'events') {
       pausedUntil = timers.now() + FAILURE_PAUSE;
       return false;
     }
     options.onEvents(outcome.value.events);
-    options.onKnown(timers.now() - askedAt);
+    options.onSynced(timers.now() - askedAt);
     return true;
   }
 
--- a/packages/relay/src/RelayDuty.ts
+++ b/packages/relay/src/RelayDuty.ts
@@ -7,7 +7,7 @@
 export interface PlacementDutyOptions {
   readonly self: InstanceEntry;
   readonly lease: Pick<RelayLease, 'holds' | 'listInstances' | 'getLastHolder'>;
-  readonly peers: Pick<RelayPeers, 'isBlind' | 'isSilent'>;
+  readonly peers: Pick<RelayPeers, 'isIsolated' | 'isUnresponsive'>;
   readonly isLeaving: () => boolean;
 }
 
@@ -21,14 +21,14 @@
    * orders than the engine's is then refused.
    */
   function isStandIn(domain: DomainId): boolean {
-    if (domain !== self.domain || options.isLeaving() || !peers.isBlind()) {
+    if (domain !== self.domain || options.isLeaving() || !peers.isIsolated()) {
       return false;
     }
     const ids = lease
       .listInstances()
       .filter((instance) => instance.domain === domain)
       .map(({ id }) => id)
-      .filter((id) => id === self.id || !peers.isSilent(id))
+      .filter((id) => id === self.id || !peers.isUnresponsive(id))
       .sort();
     const last = lease.getLastHolder(domain);
     return (last !== null && ids.includes(last) ? last : ids[0]) === self.id;
--- a/packages/relay/src/RelaySources.ts
+++ b/packages/relay/src/RelayFanout.ts
@@ -8,7 +8,7 @@
 import type { InstanceEntry } from './RelayTypes.js';
 
 /** How far an instance is from the store. One answers only those that are farther from it than itself. */
-export const NewsLevel = {
+export const FanoutLevel = {
   /** Watches the store. */
   Watcher: 0,
   /** Hears the watchers and tells its own domain. */
@@ -17,11 +17,11 @@
   Subscriber: 2,
 } as const;
 
-export type NewsLevelValue = (typeof NewsLevel)[keyof typeof NewsLevel];
+export type FanoutLevelValue = (typeof FanoutLevel)[keyof typeof FanoutLevel];
 
 /** An instance's part in spreading news. */
-export interface NewsPart {
-  readonly level: NewsLevelValue;
+export interface FanoutRole {
+  readonly level: FanoutLevelValue;
   /** Whom it asks; none at a watcher. */
   readonly sources: readonly InstanceEntry[];
   /** Whether any instance of the fleet hears by others. */
@@ -37,20 +37,23 @@
 const KEY = 'store-news';
 
 /** Works out an instance's part. */
-export function selectNewsPart(self: InstanceEntry, instances: readonly InstanceEntry[]): NewsPart {
+export function selectFanoutRole(
+  self: InstanceEntry,
+  instances: readonly InstanceEntry[],
+): FanoutRole {
   const reachable = instances.filter(({ address }) => address !== null);
   if (reachable.length <= LARGEST_WITHOUT_SOURCES || self.address === null) {
-    return { level: NewsLevel.Watcher, sources: [], isShared: false };
+    return { level: FanoutLevel.Watcher, sources: [], isShared: false };
   }
   const aggregators = selectAggregators(reachable);
   const watchers = selectWatchers(aggregators);
   if (watchers.some(({ id }) => id === self.id)) {
-    return { level: NewsLevel.Watcher, sources: [], isShared: true };
+    return { level: FanoutLevel.Watcher, sources: [], isShared: true };
   }
   const own = aggregators.get(self.domain) ?? [];
   return own.some(({ id }) => id === self.id)
-    ? { level: NewsLevel.Aggregator, sources: watchers, isShared: true }
-    : { level: NewsLevel.Subscriber, sources: own, isShared: true };
+    ? { level: FanoutLevel.Aggregator, sources: watchers, isShared: true }
+    : { level: FanoutLevel.Subscriber, sources: own, isShared: true };
 }
 
 /** Each domain's aggregators, the first choice first. */
@@ -80,8 +83,8 @@
 }
 
 /** One instance's part, worked out anew when the list of instances has changed. */
-export interface NewsRole {
-  get(): NewsPart;
+export interface FanoutRoleCache {
+  get(): FanoutRole;
   /** How long changes that come close together are gathered. */
   getGatherTime(): Millis;
 }
@@ -91,18 +94,18 @@
 /** The same where nobody waits for this instance's word: less work for the many, and a change is in force soon. */
 const SUBSCRIBER_GATHER_TIME: Millis = 300;
 
-export function createNewsRole(
+export function createFanoutRoleCache(
   self: InstanceEntry,
   listInstances: () => readonly InstanceEntry[],
-): NewsRole {
+): FanoutRoleCache {
   let instances: readonly InstanceEntry[] | null = null;
-  let part: NewsPart = { level: NewsLevel.Watcher, sources: [], isShared: false };
+  let part: FanoutRole = { level: FanoutLevel.Watcher, sources: [], isShared: false };
 
-  function get(): NewsPart {
+  function get(): FanoutRole {
     const latest = listInstances();
     if (latest !== instances) {
       instances = latest;
-      part = selectNewsPart(self, latest);
+      part = selectFanoutRole(self, latest);
     }
     return part;
   }
@@ -110,6 +113,6 @@
   return {
     get,
     getGatherTime: () =>
-      get().level === NewsLevel.Subscriber ? SUBSCRIBER_GATHER_TIME : GATHER_TIME,
+      get().level === FanoutLevel.Subscriber ? SUBSCRIBER_GATHER_TIME : GATHER_TIME,
   };
 }
--- a/packages/relay/src/RelayIntake.ts
+++ b/packages/relay/src/RelayIntake.ts
@@ -14,7 +14,7 @@
 import { drawService } from '@skylarksail/routes/RouteTable';
 import type { PipelineFacts, Route, RoutedService } from '@skylarksail/routes/RouteTypes';
 import { RouteKind } from '@skylarksail/routes/RouteTypes';
-import type { ConfirmNews } from './RelayConfirm.js';
+import type { ConfirmCurrent } from './RelayConfirm.js';
 import { ONLY_VERSION } from './RelayFacts.js';
 import type { RelayCall, RelayListener, RelayRefusal } from './RelayTypes.js';
 
@@ -27,7 +27,7 @@
   readonly getNewsAge: () => Millis;
   /** Time after its acknowledgement in which a change is to be in force everywhere. */
   readonly changeTime: Millis;
-  readonly confirmNews: ConfirmNews;
+  readonly confirmNews: ConfirmCurrent;
   readonly onDecision: (decision: {
     readonly request: string;
     readonly decision: string;
--- a/packages/relay/src/RelayMetrics.ts
+++ b/packages/relay/src/RelayMetrics.ts
@@ -26,12 +26,12 @@
 
 /** The same questions to peers, counted by how they ended. */
 export function countPeerCalls(
-  peers: Pick<PeerHttp, 'askNews' | 'askGrant'>,
+  peers: Pick<PeerHttp, 'askForUpdates' | 'askGrant'>,
   metrics: DaemonMetrics,
-): Pick<PeerHttp, 'askNews' | 'askGrant'> {
+): Pick<PeerHttp, 'askForUpdates' | 'askGrant'> {
   return {
-    async askNews(...args) {
-      const answer = await peers.askNews(...args);
+    async askForUpdates(...args) {
+      const answer = await peers.askForUpdates(...args);
       metrics.count(`news_${answer.kind}`, `questions for news that ended ${answer.kind}`);
       return answer;
     },
--- a/packages/relay/src/RelayMirror.ts
+++ b/packages/relay/src/RelayMirror.ts
@@ -16,7 +16,7 @@
 
 export interface Mirror {
   /** Takes an event in; says whether it was news. */
-  take(event: StoreEvent): boolean;
+  apply(event: StoreEvent): boolean;
   /**
    * Changes since a revision, up to the last that is known in full. If not all of them can be told, a whole for who takes
    * one, else what is known, as of the revision given.
@@ -26,15 +26,15 @@
    * The events by which what is known becomes what was told; each is then to be taken in. After a whole, nobody who knows
    * less than its revision can be told all: what came and went since the whole before was never heard of.
    */
-  prepare(changes: MirrorChanges): readonly StoreEvent[];
+  toEvents(changes: MirrorChanges): readonly StoreEvent[];
   /** All that happened up to a revision has been taken in; says whether that is more than before. */
   noteComplete(revision: number): boolean;
   /** The revision up to which everything is known. */
-  getComplete(): number;
+  getCompleteRevision(): number;
   /** Whether all that happened after a revision can be told, removals included. */
-  canTellSince(revision: number): boolean;
+  hasChangesSince(revision: number): boolean;
   /** Whether all that there is can be told. */
-  canTellWhole(): boolean;
+  hasFullState(): boolean;
 }
 
 /** Removed keys that are remembered. Servers come and go by the dozen; older ones are long forgotten. */
@@ -84,7 +84,7 @@
   }
 
   return {
-    take(event) {
+    apply(event) {
       const key = event.kind === 'written' ? event.item.key : event.key;
       const at = event.kind === 'written' ? event.item.revision : event.revision;
       if (at <= getKnown(key)) {
@@ -111,7 +111,7 @@
         revision: canTellSince(since) ? Math.max(since, complete) : since,
       };
     },
-    prepare({ isWhole, items: told, removed: gone, revision: at }) {
+    toEvents({ isWhole, items: told, removed: gone, revision: at }) {
       if (isWhole) {
         wholeSince = Math.max(at, wholeSince < Infinity ? wholeSince : 0);
         return diffWhole(told, at);
@@ -126,8 +126,8 @@
       complete = next;
       return true;
     },
-    getComplete: () => complete,
-    canTellSince,
-    canTellWhole,
+    getCompleteRevision: () => complete,
+    hasChangesSince: canTellSince,
+    hasFullState: canTellWhole,
   };
 }
--- a/packages/relay/src/RelayParts.ts
+++ b/packages/relay/src/RelayParts.ts
@@ -28,11 +28,11 @@
 import { listModels } from './RelayFacts.js';
 import { createRelayHealth } from './RelayHealth.js';
 import type { AskGrant } from './RelayGrants.js';
-import type { AskNews, RelayNews } from './RelayNews.js';
+import type { AskForUpdates, RelayUpdates } from './RelayUpdates.js';
 import type { AskPeer, RelayPeers } from './RelayPeers.js';
 import type { RelayIntake } from './RelayIntake.js';
 import { createRelayIntake } from './RelayIntake.js';
-import { startRelayKnowledge } from './RelayKnowledge.js';
+import { startRelaySync } from './RelaySync.js';
 import { createRelayLease } from './RelayLease.js';
 import { createRelayPlacement } from './RelayPlacement.js';
 import type { RelayRepeats } from './RelayRepeats.js';
@@ -66,7 +66,7 @@
   readonly readContent: ReadContent;
   readonly readBackendKey: ReadBackendKey;
   readonly askPeer: AskPeer;
-  readonly askNews: AskNews;
+  readonly askForUpdates: AskForUpdates;
   readonly askGrant: AskGrant;
   readonly createBackends: (view: BackendView) => BackendPorts;
   readonly logger: DaemonLogger;
@@ -78,7 +78,7 @@
   readonly intake: RelayIntake;
   readonly router: RequestRouter;
   readonly peers: RelayPeers;
-  readonly news: RelayNews;
+  readonly news: RelayUpdates;
   readonly repeats: RelayRepeats;
   getTable(): RouteTable | null;
   /** What the metrics show of this instance's knowledge. */
@@ -151,7 +151,7 @@
     countOwnInstances,
     getOthersWork,
   });
-  const knowledge = startRelayKnowledge({
+  const knowledge = startRelaySync({
     self,
     timers,
     random,
@@ -159,11 +159,11 @@
     readContent: options.readContent,
     readBackendKey: options.readBackendKey,
     askPeer: options.askPeer,
-    askNews: options.askNews,
+    askForUpdates: options.askForUpdates,
     readOwnWork,
     isCrowded: () => engines.isCrowded(),
     onLost: noteLost,
-    onWork: () => engines.refreshOwnLoads(),
+    onOthersWork: () => engines.refreshOwnLoads(),
     catalogue,
     lease,
     logger,
@@ -189,7 +189,7 @@
     domain: self.domain,
     catalogue,
     port: { readHealth: backends.readHealth, readStatus: backends.orders.readStatus },
-    isBlind: () => knowledge.peers.isBlind(),
+    isBlind: () => knowledge.peers.isIsolated(),
     onWell: noteAlive,
     onSeen: (seen) => {
       metrics.count(`health_${seen.health}`, `engines that answered ${seen.health} when asked`);
@@ -202,7 +202,7 @@
     bounds: options.bounds,
     domains: options.domains,
     listInstances: lease.listInstances,
-    isHearing: knowledge.news.isHearing,
+    isHearing: knowledge.updates.isCurrent,
     askGrant: options.askGrant,
   });
   const router = createRequestRouter({
@@ -234,7 +234,7 @@
     getTable: () => table,
     getNewsAge: readNewsAge,
     changeTime: options.changeTime,
-    confirmNews: knowledge.confirmNews,
+    confirmNews: knowledge.confirmCurrent,
     onDecision: decisions.record,
   });
   const isPlacing = createPlacementDuty({
@@ -271,8 +271,8 @@
 
   /** Infinite where all that is known may be from before a suspension of this process. */
   function readNewsAge(): Millis {
-    const { age } = knowledge.news.readState();
-    return timers.now() - age >= suspension.getEnd() ? age : Infinity;
+    const { age } = knowledge.updates.readState();
+    return timers.now() - age >= suspension.getResumedAt() ? age : Infinity;
   }
 
   function readOwnWork(): ToldWork {
@@ -316,7 +316,7 @@
     intake,
     router,
     peers: knowledge.peers,
-    news: knowledge.news,
+    news: knowledge.updates,
     repeats,
     getTable: () => table,
     readState: () => ({
@@ -325,8 +325,8 @@
       backends: catalogue.list().length,
       observed: catalogue.listObserved().length,
       duties: listDomains(catalogue).filter(isPlacing).length,
-      isBlind: knowledge.peers.isBlind(),
-      newsAge: knowledge.news.readState().age,
+      isBlind: knowledge.peers.isIsolated(),
+      newsAge: knowledge.updates.readState().age,
     }),
     isReady: () => table !== null && !isLeaving,
     noteSettingsChanged: calm.noteSettingsChange,
@@ -334,7 +334,7 @@
       isLeaving = true;
       calm.noteStop();
       knowledge.peers.noteLeaving();
-      knowledge.news.noteLeaving();
+      knowledge.updates.noteLeaving();
       lease.stop();
     },
     stop() {
--- a/packages/relay/src/RelayPeerCodec.ts
+++ b/packages/relay/src/RelayPeerCodec.ts
@@ -7,9 +7,9 @@
 import { pack } from 'msgpackr';
 import type { StoreItem } from '@skylarksail/store/StoreRange';
 import type { MirrorChanges } from './RelayMirror.js';
-import type { NewsContent, SentChanges, SentItem } from './RelayPeerMessages.js';
-import { readNewsMessage, readPeerMessage } from './RelayPeerMessages.js';
-import type { PeerAnswer, PeerNews } from './RelayPeers.js';
+import type { UpdateContent, WireChanges, WireItem } from './RelayPeerMessages.js';
+import { readUpdateMessage, readPeerMessage } from './RelayPeerMessages.js';
+import type { PeerAnswer, PeerUpdates } from './RelayPeers.js';
 
 /**
  * How an answer is written: as every version reads it, or, for those that say they can read it, with large values
@@ -22,11 +22,11 @@
 export interface PeerCodec {
   /** Null for a peer that is silent. */
   packPeerAnswer(answer: PeerAnswer, form: AnswerFormName): Buffer | null;
-  packNews(news: NewsContent, form: AnswerFormName): Buffer;
+  packUpdates(news: UpdateContent, form: AnswerFormName): Buffer;
   /** Throws if the bytes make no sense. */
-  readPeerNews(body: Buffer): PeerNews;
+  readPeerUpdates(body: Buffer): PeerUpdates;
   /** Throws if the bytes make no sense. */
-  readNews(body: Buffer): NewsContent;
+  readUpdates(body: Buffer): UpdateContent;
 }
 
 /** Characters. Shorter values hardly delay an answer; compressing them would only take time. */
@@ -47,14 +47,14 @@
     return deflated;
   }
 
-  function toSent(item: StoreItem, form: AnswerFormName): SentItem {
+  function toSent(item: StoreItem, form: AnswerFormName): WireItem {
     const { key, value, revision } = item;
     return form === AnswerForm.Plain || value.length < LEAST_COMPRESSED
       ? { key, value, revision }
       : { key, revision, deflated: compress(item) };
   }
 
-  function fromSent(sent: SentItem): StoreItem {
+  function fromSent(sent: WireItem): StoreItem {
     if ('value' in sent) {
       return sent;
     }
@@ -66,11 +66,11 @@
     return item;
   }
 
-  function toSentChanges({ items, ...rest }: MirrorChanges, form: AnswerFormName): SentChanges {
+  function toSentChanges({ items, ...rest }: MirrorChanges, form: AnswerFormName): WireChanges {
     return { ...rest, items: items.map((item) => toSent(item, form)) };
   }
 
-  function fromSentChanges({ items, ...rest }: SentChanges): MirrorChanges {
+  function fromSentChanges({ items, ...rest }: WireChanges): MirrorChanges {
     return { ...rest, items: items.map(fromSent) };
   }
 
@@ -80,19 +80,19 @@
         case 'news':
           return pack({ ...toSentChanges(answer.changes, form), age: answer.age });
         case 'deaf':
-          return pack(answer.seen);
+          return pack(answer.observed);
         default:
           return null;
       }
     },
-    packNews: ({ changes, age, held, others }, form) =>
+    packUpdates: ({ changes, age, held, others }, form) =>
       pack({ changes: toSentChanges(changes, form), age, held, others }),
-    readPeerNews(body) {
+    readPeerUpdates(body) {
       const { age, ...changes } = readPeerMessage(body);
       return { age, changes: fromSentChanges(changes) };
     },
-    readNews(body) {
-      const { changes, ...rest } = readNewsMessage(body);
+    readUpdates(body) {
+      const { changes, ...rest } = readUpdateMessage(body);
       return { ...rest, changes: fromSentChanges(changes) };
     },
   };
--- a/packages/relay/src/RelayPeerHttp.ts
+++ b/packages/relay/src/RelayPeerHttp.ts
@@ -8,10 +8,10 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { HostPort, Millis } from '@skylarksail/core/CoreTypes';
 import type { AskGrant } from './RelayGrants.js';
-import type { AskNews, NewsAnswer, NewsAsk } from './RelayNews.js';
+import type { AskForUpdates, UpdateAnswer, UpdateQuery } from './RelayUpdates.js';
 import type { AnswerFormName, PeerCodec } from './RelayPeerCodec.js';
 import { AnswerForm, createPeerCodec } from './RelayPeerCodec.js';
-import { readNewsAsk, readSeenMessage } from './RelayPeerMessages.js';
+import { readUpdateQuery, readObservedMessage } from './RelayPeerMessages.js';
 import type { AskPeer, PeerAnswer } from './RelayPeers.js';
 
 const Path = { Changes: '/changes', News: '/news', Grants: '/grants' } as const;
@@ -25,7 +25,7 @@
  * Limits of an answer that has begun. Its whole is half of the two seconds in which a change is to be in force, so that
  * there is time to ask another where a peer's link is too slow.
  */
-export const PEER_ANSWER = { gap: 300, whole: 1000 } as const;
+export const PEER_ANSWER_LIMITS = { gap: 300, whole: 1000 } as const;
 /** A header of each question; an instance of an earlier version passes over it. */
 const FORM_HEADER = 'answer-form';
 /** What the status of an answer says before its body is read. */
@@ -37,19 +37,19 @@
 const SILENT = { kind: 'silent' } as const;
 
 /** What peers are told. */
-export interface PeerAnswers {
+export interface PeerHandlers {
   readonly changes: (since: number, takesWhole: boolean) => PeerAnswer;
-  readonly news: (ask: NewsAsk) => Promise<NewsAnswer>;
+  readonly updates: (ask: UpdateQuery) => Promise<UpdateAnswer>;
   /** Repeats that are granted at a service. */
   readonly grant: (service: string, wanted: number) => number;
 }
 
 export interface PeerHttp {
   readonly ask: AskPeer;
-  readonly askNews: AskNews;
+  readonly askForUpdates: AskForUpdates;
   readonly askGrant: AskGrant;
   /** Serves peers. Resolves to the port, drawn if it was 0. */
-  listen(address: HostPort, answers: PeerAnswers): Promise<number>;
+  listen(address: HostPort, answers: PeerHandlers): Promise<number>;
   close(): Promise<void>;
 }
 
@@ -71,7 +71,7 @@
     timeout: Millis,
     body: Buffer | null = null,
   ): Promise<RawAnswer | null> {
-    const arrival = startArrival(timers, { begin: timeout, ...PEER_ANSWER });
+    const arrival = startArrival(timers, { begin: timeout, ...PEER_ANSWER_LIMITS });
     try {
       const res = await agent.request({
         origin: `http://${host}:${port}`,
@@ -94,7 +94,7 @@
       const raw = await send(address, `${Path.Changes}?since=${since}`, timeout);
       return readAnswer(raw, (got) => readPeerAnswer(got, codec));
     },
-    async askNews({ address }, ask, timeout) {
+    async askForUpdates({ address }, ask, timeout) {
       const raw = address && (await send(address, Path.News, timeout, pack(ask)));
       return readAnswer(raw, (got) => readNewsAnswer(got, codec));
     },
@@ -145,7 +145,7 @@
 async function serve(
   { url = '', headers }: IncomingMessage,
   body: Buffer,
-  { answers, codec }: { readonly answers: PeerAnswers; readonly codec: PeerCodec },
+  { answers, codec }: { readonly answers: PeerHandlers; readonly codec: PeerCodec },
   res: ServerResponse,
 ): Promise<void> {
   const [path, query] = url.split('?');
@@ -169,19 +169,19 @@
 
 function answerChanges(
   asked: URLSearchParams,
-  answers: PeerAnswers,
+  answers: PeerHandlers,
   takesWhole: boolean,
 ): PeerAnswer {
   const since = Number(asked.get('since') ?? NaN);
   return Number.isFinite(since) ? answers.changes(since, takesWhole) : SILENT;
 }
 
-async function answerNews(body: Buffer, answers: PeerAnswers): Promise<NewsAnswer> {
-  const ask = readNewsAsk(body);
-  return ask === null ? SILENT : answers.news(ask);
+async function answerNews(body: Buffer, answers: PeerHandlers): Promise<UpdateAnswer> {
+  const ask = readUpdateQuery(body);
+  return ask === null ? SILENT : answers.updates(ask);
 }
 
-function answerGrant(asked: URLSearchParams, answers: PeerAnswers): number {
+function answerGrant(asked: URLSearchParams, answers: PeerHandlers): number {
   const wanted = Number(asked.get('wanted') ?? NaN);
   const service = asked.get('service') ?? '';
   return Number.isSafeInteger(wanted) && wanted > 0 ? answers.grant(service, wanted) : 0;
@@ -198,16 +198,16 @@
 
 function writeNews(
   res: ServerResponse,
-  said: NewsAnswer,
+  said: UpdateAnswer,
   codec: PeerCodec,
   form: AnswerFormName,
 ): void {
-  writeAnswer(res, said, said.kind === 'news' ? codec.packNews(said, form) : null);
+  writeAnswer(res, said, said.kind === 'news' ? codec.packUpdates(said, form) : null);
 }
 
 function writeAnswer(
   res: ServerResponse,
-  { kind }: Pick<PeerAnswer | NewsAnswer, 'kind'>,
+  { kind }: Pick<PeerAnswer | UpdateAnswer, 'kind'>,
   body: Buffer | null,
 ): void {
   res.writeHead(ANSWER_STATUS[kind], body === null ? {} : CONTENT_TYPE);
@@ -226,18 +226,18 @@
 function readPeerAnswer({ status, body }: RawAnswer, codec: PeerCodec): PeerAnswer {
   switch (status) {
     case Status.Ok:
-      return { kind: 'news', ...codec.readPeerNews(body) };
+      return { kind: 'news', ...codec.readPeerUpdates(body) };
     case Status.Unavailable:
-      return { kind: 'deaf', seen: readSeenMessage(body) };
+      return { kind: 'deaf', observed: readObservedMessage(body) };
     default:
       return SILENT;
   }
 }
 
-function readNewsAnswer({ status, body }: RawAnswer, codec: PeerCodec): NewsAnswer {
+function readNewsAnswer({ status, body }: RawAnswer, codec: PeerCodec): UpdateAnswer {
   switch (status) {
     case Status.Ok:
-      return { kind: 'news', ...codec.readNews(body) };
+      return { kind: 'news', ...codec.readUpdates(body) };
     case Status.Unavailable:
       return { kind: 'deaf' };
     default:
--- a/packages/relay/src/RelayPeerMessages.ts
+++ b/packages/relay/src/RelayPeerMessages.ts
@@ -5,9 +5,9 @@
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreItem } from '@skylarksail/store/StoreRange';
 import type { MirrorChanges } from './RelayMirror.js';
-import type { NewsAsk } from './RelayNews.js';
-import type { PeerNews } from './RelayPeers.js';
-import { NewsLevel } from './RelaySources.js';
+import type { UpdateQuery } from './RelayUpdates.js';
+import type { PeerUpdates } from './RelayPeers.js';
+import { FanoutLevel } from './RelayFanout.js';
 import type { BackendEntry } from './RelayTypes.js';
 import type { ToldWork } from './RelayWork.js';
 
@@ -20,7 +20,7 @@
 const newsAsk = z.object({
   since: count,
   hold: count,
-  level: z.enum(NewsLevel),
+  level: z.enum(FanoutLevel),
   takesWhole: z.optional(z.boolean()),
   from: z.string(),
   work: toldWork,
@@ -64,26 +64,26 @@
 );
 
 /** An item as it is sent: its value as text, or compressed. */
-export type SentItem =
+export type WireItem =
   StoreItem | { readonly key: string; readonly revision: number; readonly deflated: Uint8Array };
 
 /** Changes as they are sent. */
-export interface SentChanges extends Omit<MirrorChanges, 'items'> {
-  readonly items: readonly SentItem[];
+export interface WireChanges extends Omit<MirrorChanges, 'items'> {
+  readonly items: readonly WireItem[];
 }
 
 /** What a peer beside the sources tells, as it is sent. */
-export interface SentPeerNews extends SentChanges {
-  readonly age: PeerNews['age'];
+export interface WirePeerUpdates extends WireChanges {
+  readonly age: PeerUpdates['age'];
 }
 
 /** What a source tells, as it is sent. */
-export interface SentNews extends Omit<NewsContent, 'changes'> {
-  readonly changes: SentChanges;
+export interface WireUpdates extends Omit<UpdateContent, 'changes'> {
+  readonly changes: WireChanges;
 }
 
 /** What a source tells, as it is used. */
-export interface NewsContent {
+export interface UpdateContent {
   readonly changes: MirrorChanges;
   /** Time since the source knew all that the store held, in ms. */
   readonly age: Millis;
@@ -94,12 +94,12 @@
 }
 
 /** Reads engines that a peer has seen; throws if they make no sense. */
-export function readSeenMessage(body: Buffer): readonly BackendEntry[] {
+export function readObservedMessage(body: Buffer): readonly BackendEntry[] {
   return seenEntries.parse(unpack(body));
 }
 
 /** Reads a question for news; null if it makes no sense. */
-export function readNewsAsk(body: Buffer): NewsAsk | null {
+export function readUpdateQuery(body: Buffer): UpdateQuery | null {
   try {
     return { takesWhole: false, ...newsAsk.parse(unpack(body)) };
   } catch {
@@ -109,12 +109,12 @@
 }
 
 /** Reads what a peer beside the sources told; throws if it makes no sense. */
-export function readPeerMessage(body: Buffer): SentPeerNews {
+export function readPeerMessage(body: Buffer): WirePeerUpdates {
   return { age: null, isWhole: false, ...peerNews.parse(unpack(body)) };
 }
 
 /** Reads what a source told; throws if it makes no sense. */
-export function readNewsMessage(body: Buffer): SentNews {
+export function readUpdateMessage(body: Buffer): WireUpdates {
   const { changes, ...rest } = newsMessage.parse(unpack(body));
   return { age: 0, held: 0, ...rest, changes: { isWhole: false, ...changes } };
 }
--- a/packages/relay/src/RelayPeers.ts
+++ b/packages/relay/src/RelayPeers.ts
@@ -16,12 +16,12 @@
  * engines itself. `silent`: it is gone, cut off or leaving.
  */
 export type PeerAnswer =
-  | ({ readonly kind: 'news' } & PeerNews)
-  | { readonly kind: 'deaf'; readonly seen: readonly BackendEntry[] }
+  | ({ readonly kind: 'news' } & PeerUpdates)
+  | { readonly kind: 'deaf'; readonly observed: readonly BackendEntry[] }
   | { readonly kind: 'silent' };
 
 /** What a peer that hears the store knows. */
-export interface PeerNews {
+export interface PeerUpdates {
   readonly changes: MirrorChanges;
   /** Time since it knew all that the store held; null if it cannot tell all since the revision asked for. */
   readonly age: Millis | null;
@@ -39,13 +39,13 @@
   readonly listInstances: () => readonly InstanceEntry[];
   readonly onEvent: (event: StoreEvent, peer: InstanceId) => void;
   /** Engines as this instance has seen them itself. */
-  readonly listSeen: () => readonly BackendEntry[];
+  readonly listObserved: () => readonly BackendEntry[];
   /** An engine as a peer of its domain has seen it. */
-  readonly onSeen: (entry: BackendEntry) => void;
-  readonly onHeard: (peer: string, revision: number) => void;
-  readonly getNewsAge: () => Millis;
+  readonly onObserved: (entry: BackendEntry) => void;
+  readonly onRevision: (peer: string, revision: number) => void;
+  readonly getStaleness: () => Millis;
   /** A peer told all that it knew so long ago. */
-  readonly onKnown: (age: Millis) => void;
+  readonly onSynced: (age: Millis) => void;
 }
 
 export interface RelayPeers {
@@ -57,9 +57,9 @@
   /** What a peer is told. */
   answer(since: number, takesWhole: boolean): PeerAnswer;
   /** Whether neither the store nor any peer that hears it could be reached for a while. */
-  isBlind(): boolean;
+  isIsolated(): boolean;
   /** Peers that were asked since the store was lost, and gave no answer when they were asked last. */
-  isSilent(peer: InstanceId): boolean;
+  isUnresponsive(peer: InstanceId): boolean;
 }
 
 /** A change is to be in force within two seconds; a peer that is cut off too costs one of the tries. */
@@ -96,7 +96,7 @@
     }
     // Not since the latest revision known: before that there may be changes that were never heard of.
     const askedAt = timers.now();
-    const answer = await options.askPeer(peer.address, mirror.getComplete(), ASK_TIMEOUT);
+    const answer = await options.askPeer(peer.address, mirror.getCompleteRevision(), ASK_TIMEOUT);
     if (undo === null || loss !== losses) {
       return;
     }
@@ -110,17 +110,17 @@
       takeNews(peer, answer, askedAt);
     } else if (answer.kind === 'deaf') {
       // Of its own domain's engines an instance sees more itself.
-      answer.seen.filter(({ domain }) => domain !== self.domain).forEach(options.onSeen);
+      answer.observed.filter(({ domain }) => domain !== self.domain).forEach(options.onObserved);
     }
   }
 
-  function takeNews(peer: InstanceEntry, { changes, age }: PeerNews, askedAt: Millis): void {
-    mirror.prepare(changes).forEach((event) => options.onEvent(event, peer.id));
+  function takeNews(peer: InstanceEntry, { changes, age }: PeerUpdates, askedAt: Millis): void {
+    mirror.toEvents(changes).forEach((event) => options.onEvent(event, peer.id));
     if (mirror.noteComplete(changes.revision)) {
-      options.onHeard(peer.id, changes.revision);
+      options.onRevision(peer.id, changes.revision);
     }
     if (age !== null) {
-      options.onKnown(age + timers.now() - askedAt);
+      options.onSynced(age + timers.now() - askedAt);
     }
   }
 
@@ -155,13 +155,13 @@
     answer(since, takesWhole) {
       if (undo === null) {
         const changes = mirror.readSince(since, takesWhole);
-        const isAll = changes.isWhole || mirror.canTellSince(since);
-        return { kind: 'news', changes, age: isAll ? options.getNewsAge() : null };
+        const isAll = changes.isWhole || mirror.hasChangesSince(since);
+        return { kind: 'news', changes, age: isAll ? options.getStaleness() : null };
       }
-      const seen = options.listSeen().filter(({ domain }) => domain === self.domain);
-      return isLeaving ? { kind: 'silent' } : { kind: 'deaf', seen };
+      const seen = options.listObserved().filter(({ domain }) => domain === self.domain);
+      return isLeaving ? { kind: 'silent' } : { kind: 'deaf', observed: seen };
     },
-    isBlind: () => undo !== null && timers.now() - heardAt >= BLIND_AFTER,
-    isSilent: (peer) => silent.has(peer),
+    isIsolated: () => undo !== null && timers.now() - heardAt >= BLIND_AFTER,
+    isUnresponsive: (peer) => silent.has(peer),
   };
 }
--- a/packages/relay/src/RelayNewsAge.ts
+++ b/packages/relay/src/RelayStaleness.ts
@@ -9,26 +9,26 @@
 export const STORE_SOURCE = 'store';
 
 /** From whom an instance heard last, and how long ago it heard all that there was. */
-export interface NewsState {
+export interface UpdateState {
   /** An instance, or the store; null before the first answer. */
   readonly source: InstanceId | typeof STORE_SOURCE | null;
   /** Time since a source, or the store, last told all that it held; infinite before the first answer. */
   readonly age: Millis;
 }
 
-export interface NewsAge {
+export interface StalenessTracker {
   /** An answer has come whose sender knew all so long ago. What it tells may not be taken in yet. */
-  noteAnswer(source: NewsState['source'], age: Millis): void;
+  noteAnswer(source: UpdateState['source'], age: Millis): void;
   /** What the last answer told has been taken in. */
-  noteTaken(): void;
+  noteApplied(): void;
   /** A peer beside the sources told all that it knew so long ago, and that has been taken in. */
-  noteKnown(age: Millis): void;
+  noteSynced(age: Millis): void;
   get(): Millis;
-  readState(): NewsState;
+  readState(): UpdateState;
 }
 
-export function createNewsAge(timers: TimerService): NewsAge {
-  let source: NewsState['source'] = null;
+export function createStalenessTracker(timers: TimerService): StalenessTracker {
+  let source: UpdateState['source'] = null;
   /** As of when the last answer told all. */
   let answerAsOf = -Infinity;
   /** All that the store held at this time is known. */
@@ -43,10 +43,10 @@
       source = next;
       answerAsOf = timers.now() - age;
     },
-    noteTaken() {
+    noteApplied() {
       knownAsOf = Math.max(knownAsOf, answerAsOf);
     },
-    noteKnown(age) {
+    noteSynced(age) {
       knownAsOf = Math.max(knownAsOf, timers.now() - age);
     },
     get,
--- a/packages/relay/src/RelayNewsStore.ts
+++ b/packages/relay/src/RelayStoreReads.ts
@@ -9,14 +9,14 @@
   StoreRangePort,
 } from '@skylarksail/store/StoreRange';
 import type { Mirror } from './RelayMirror.js';
-import type { NewsAge } from './RelayNewsAge.js';
-import { STORE_SOURCE } from './RelayNewsAge.js';
+import type { StalenessTracker } from './RelayStaleness.js';
+import { STORE_SOURCE } from './RelayStaleness.js';
 
-export interface NewsStoreOptions {
+export interface StoreReadsOptions {
   readonly timers: TimerService;
   readonly store: Pick<StoreRangePort, 'readRange' | 'watchRange'>;
   readonly mirror: Mirror;
-  readonly age: NewsAge;
+  readonly age: StalenessTracker;
   /** Whether any instance of the fleet hears by others. */
   readonly isShared: () => boolean;
   /** Since when neither the store nor a source has answered; null if one does. */
@@ -35,14 +35,14 @@
 const LONGEST_LOSS: Millis = 1000;
 
 /** Creates the way to the store, which notes how old its answers are. */
-export function createNewsStore({
+export function createStoreReads({
   timers,
   store,
   mirror,
   age,
   isShared,
   getLostAt,
-}: NewsStoreOptions): Pick<StoreRangePort, 'readRange' | 'watchRange'> {
+}: StoreReadsOptions): Pick<StoreRangePort, 'readRange' | 'watchRange'> {
   function noteAnswer(outcome: StoreOutcome<unknown>): void {
     if (outcome.kind === 'done') {
       age.noteAnswer(STORE_SOURCE, outcome.arrivalTime ?? 0);
@@ -75,7 +75,7 @@
       revision ??= page.value.revision;
       after = page.value.next;
     } while (after !== null);
-    const events = mirror.prepare({ isWhole: true, items, removed: [], revision });
+    const events = mirror.toEvents({ isWhole: true, items, removed: [], revision });
     return { kind: 'done', value: { kind: 'events', events, revision } };
   }
 
--- a/packages/relay/src/RelaySuspension.ts
+++ b/packages/relay/src/RelaySuspension.ts
@@ -7,7 +7,7 @@
 
 export interface RelaySuspension {
   /** When the latest suspension was found to be over, on the steady clock; nothing learned before is known to hold. */
-  getEnd(): Millis;
+  getResumedAt(): Millis;
 }
 
 /** Clocks drift apart by less between two looks, and a pause of this length hides no change for long. */
@@ -22,7 +22,7 @@
   let offset = wallNow() - timers.now();
 
   return {
-    getEnd() {
+    getResumedAt() {
       const now = timers.now();
       const before = offset;
       offset = wallNow() - now;
--- a/packages/relay/src/RelayKnowledge.ts
+++ b/packages/relay/src/RelaySync.ts
@@ -11,23 +11,23 @@
 import type { StoreEvent, StoreItem, StoreRangePort } from '@skylarksail/store/StoreRange';
 import { registerFollow } from '@skylarksail/store/StoreFollow';
 import type { Catalogue } from './RelayCatalogue.js';
-import type { ConfirmNews } from './RelayConfirm.js';
+import type { ConfirmCurrent } from './RelayConfirm.js';
 import { createRelayConfirm } from './RelayConfirm.js';
 import type { RelayLease } from './RelayLease.js';
 import { OWN_PREFIX } from './RelayLease.js';
 import { createMirror } from './RelayMirror.js';
-import type { AskNews, RelayNews } from './RelayNews.js';
-import { createRelayNews } from './RelayNews.js';
-import type { NewsState } from './RelayNewsAge.js';
-import { STORE_SOURCE } from './RelayNewsAge.js';
+import type { AskForUpdates, RelayUpdates } from './RelayUpdates.js';
+import { createRelayUpdates } from './RelayUpdates.js';
+import type { UpdateState } from './RelayStaleness.js';
+import { STORE_SOURCE } from './RelayStaleness.js';
 import type { AskPeer, RelayPeers } from './RelayPeers.js';
 import { createRelayPeers } from './RelayPeers.js';
-import { createNewsRole, NewsLevel } from './RelaySources.js';
+import { createFanoutRoleCache, FanoutLevel } from './RelayFanout.js';
 import type { RelayWork, RelayWorkOptions, ToldWork } from './RelayWork.js';
 import { createRelayWork } from './RelayWork.js';
 import type { InstanceEntry, ReadBackendKey, ReadContent, StoreContent } from './RelayTypes.js';
 
-export interface RelayKnowledgeOptions {
+export interface RelaySyncOptions {
   readonly self: InstanceEntry;
   readonly timers: TimerService;
   readonly random: Random;
@@ -35,11 +35,11 @@
   readonly readContent: ReadContent;
   readonly readBackendKey: ReadBackendKey;
   readonly askPeer: AskPeer;
-  readonly askNews: AskNews;
+  readonly askForUpdates: AskForUpdates;
   readonly readOwnWork: () => ToldWork;
   readonly isCrowded: () => boolean;
   /** Others told what they have running. */
-  readonly onWork: () => void;
+  readonly onOthersWork: () => void;
   readonly onLost: RelayWorkOptions['onLost'];
   readonly catalogue: Catalogue;
   readonly lease: RelayLease;
@@ -50,12 +50,12 @@
   readonly onTable: (table: RouteTable) => void;
 }
 
-export interface RelayKnowledge {
+export interface RelaySync {
   readonly peers: RelayPeers;
-  readonly news: RelayNews;
+  readonly updates: RelayUpdates;
   readonly work: RelayWork;
   /** Asks the store whether all that it holds now is known here. */
-  readonly confirmNews: ConfirmNews;
+  readonly confirmCurrent: ConfirmCurrent;
   readonly stop: Unregister;
 }
 
@@ -65,7 +65,7 @@
 
 /** How a configuration reached an instance. */
 interface ConfigArrival {
-  readonly source: NewsState['source'];
+  readonly source: UpdateState['source'];
   /** Time since this instance last knew all that there was; null at a start. */
   readonly newsAge: Millis | null;
   readonly bytes: number;
@@ -74,15 +74,15 @@
 }
 
 /** Starts to follow. */
-export function startRelayKnowledge(options: RelayKnowledgeOptions): RelayKnowledge {
+export function startRelaySync(options: RelaySyncOptions): RelaySync {
   const { timers, random, catalogue, lease, logger } = options;
   const mirror = createMirror();
-  const role = createNewsRole(options.self, lease.listInstances);
+  const role = createFanoutRoleCache(options.self, lease.listInstances);
   let version: number | null = null;
 
   /** Takes in what the store or a peer told, unless something newer is known already. */
-  function takeEvent(event: StoreEvent, heard: NewsState): void {
-    if (!mirror.take(event)) {
+  function takeEvent(event: StoreEvent, heard: UpdateState): void {
+    if (!mirror.apply(event)) {
       return;
     }
     const key = event.kind === 'written' ? event.item.key : event.key;
@@ -98,7 +98,7 @@
     }
   }
 
-  function takeItem(item: StoreItem, heard: NewsState): void {
+  function takeItem(item: StoreItem, heard: UpdateState): void {
     const began = timers.now();
     const content = readItem(item);
     if (content?.kind === 'backend') {
@@ -141,11 +141,11 @@
     timers,
     self: options.self.id,
     readOwn: options.readOwnWork,
-    isAggregator: () => role.get().level !== NewsLevel.Subscriber,
-    onHeard: options.onWork,
+    isAggregator: () => role.get().level !== FanoutLevel.Subscriber,
+    onHeard: options.onOthersWork,
     onLost: options.onLost,
   });
-  const news = createRelayNews({
+  const news = createRelayUpdates({
     self: options.self.id,
     work,
     readOwnWork: options.readOwnWork,
@@ -153,9 +153,9 @@
     timers,
     store: options.store,
     mirror,
-    askNews: options.askNews,
-    getPart: role.get,
-    onDirect: (asked) =>
+    askForUpdates: options.askForUpdates,
+    getRole: role.get,
+    onDirectWatch: (asked) =>
       logger.info({ asked }, 'no source has news: the store is watched directly'),
   });
   const peers = createRelayPeers({
@@ -166,19 +166,19 @@
     askPeer: options.askPeer,
     listInstances: lease.listInstances,
     onEvent: (event, peer) => takeEvent(event, { ...news.readState(), source: peer }),
-    listSeen: catalogue.listObserved,
-    onSeen: catalogue.observe,
-    getNewsAge: () => news.readState().age,
-    onKnown: news.noteKnown,
-    onHeard: (peer, revision) => logger.info({ peer, revision }, 'store heard from a peer'),
+    listObserved: catalogue.listObserved,
+    onObserved: catalogue.observe,
+    getStaleness: () => news.readState().age,
+    onSynced: news.noteSynced,
+    onRevision: (peer, revision) => logger.info({ peer, revision }, 'store heard from a peer'),
   });
   const confirmNews = createRelayConfirm({
     timers,
     store: options.store,
-    getComplete: mirror.getComplete,
+    getCompleteRevision: mirror.getCompleteRevision,
     onEvents: (events) =>
       events.forEach((event) => takeEvent(event, { ...news.readState(), source: STORE_SOURCE })),
-    onKnown: news.noteKnown,
+    onSynced: news.noteSynced,
   });
   const stop = registerFollow({
     port: news.port,
@@ -191,18 +191,18 @@
     listener: {
       onSnapshot(items, revision) {
         mirror
-          .prepare({ isWhole: true, items, removed: [], revision })
+          .toEvents({ isWhole: true, items, removed: [], revision })
           .forEach((event) => takeEvent(event, news.readState()));
       },
       onEvent: (event) => takeEvent(event, news.readState()),
       onCaughtUp: news.noteCaughtUp,
       onLost: () => {
-        news.setHearing(false);
+        news.setReachable(false);
         peers.noteStoreLost();
         logger.warn('store lost');
       },
       onRegained: () => {
-        news.setHearing(true);
+        news.setReachable(true);
         catalogue.noteStoreRegained();
         peers.noteStoreRegained();
         logger.info('store regained');
@@ -211,9 +211,9 @@
   });
   return {
     peers,
-    news,
+    updates: news,
     work,
-    confirmNews,
+    confirmCurrent: confirmNews,
     stop() {
       peers.noteStoreRegained();
       stop();
--- a/packages/relay/src/RelayNews.ts
+++ b/packages/relay/src/RelayUpdates.ts
@@ -8,21 +8,21 @@
 import type { StoreOutcome } from '@skylarksail/store/StorePort';
 import type { StoreChanges, StoreRangePort } from '@skylarksail/store/StoreRange';
 import type { Mirror, MirrorChanges } from './RelayMirror.js';
-import type { NewsState } from './RelayNewsAge.js';
-import { createNewsAge } from './RelayNewsAge.js';
-import { createNewsStore } from './RelayNewsStore.js';
-import type { NewsLevelValue, NewsPart } from './RelaySources.js';
-import { NewsLevel } from './RelaySources.js';
+import type { UpdateState } from './RelayStaleness.js';
+import { createStalenessTracker } from './RelayStaleness.js';
+import { createStoreReads } from './RelayStoreReads.js';
+import type { FanoutLevelValue, FanoutRole } from './RelayFanout.js';
+import { FanoutLevel } from './RelayFanout.js';
 import type { InstanceEntry } from './RelayTypes.js';
 import type { RelayWork, ToldWork } from './RelayWork.js';
 
 /** What an instance asks a source, which may hold the answer until there is news. */
-export interface NewsAsk {
+export interface UpdateQuery {
   /** Everything up to this revision is known. */
   readonly since: number;
   readonly hold: Millis;
   /** How far the asking instance is from the store. */
-  readonly level: NewsLevelValue;
+  readonly level: FanoutLevelValue;
   /** Whether it understands an answer with all that there is. */
   readonly takesWhole: boolean;
   readonly from: InstanceId;
@@ -30,7 +30,7 @@
 }
 
 /** What a source says. `deaf`: it does not hear the store, or not since that revision; `silent`: nothing came. */
-export type NewsAnswer =
+export type UpdateAnswer =
   | {
       readonly kind: 'news';
       readonly changes: MirrorChanges;
@@ -45,37 +45,41 @@
   | { readonly kind: 'silent' };
 
 /** Asks a peer for news. */
-export type AskNews = (peer: InstanceEntry, ask: NewsAsk, timeout: Millis) => Promise<NewsAnswer>;
+export type AskForUpdates = (
+  peer: InstanceEntry,
+  ask: UpdateQuery,
+  timeout: Millis,
+) => Promise<UpdateAnswer>;
 
-export interface RelayNewsOptions {
+export interface RelayUpdatesOptions {
   readonly self: InstanceId;
   readonly timers: TimerService;
   readonly store: StoreRangePort;
   readonly mirror: Mirror;
-  readonly askNews: AskNews;
+  readonly askForUpdates: AskForUpdates;
   /** From whom this instance hears; it watches the store itself if there is nobody. */
-  readonly getPart: () => NewsPart;
+  readonly getRole: () => FanoutRole;
   readonly work: Pick<RelayWork, 'take' | 'sumFor' | 'hear'>;
   readonly readOwnWork: () => ToldWork;
   /** Whether engines of the own domain are so full that others' work decides where there is room. */
   readonly isCrowded: () => boolean;
   /** No source had news to give, and the store is watched directly for a while. */
-  readonly onDirect: (sources: readonly InstanceId[]) => void;
+  readonly onDirectWatch: (sources: readonly InstanceId[]) => void;
 }
 
-export interface RelayNews {
+export interface RelayUpdates {
   /** The store's port, with watches answered by sources where they can. */
   readonly port: StoreRangePort;
   /** What a peer that asks is told, once there is news or the hold is over. */
-  answer(ask: NewsAsk): Promise<NewsAnswer>;
+  answer(ask: UpdateQuery): Promise<UpdateAnswer>;
   /** The mirror holds all that was told up to a revision. */
   noteCaughtUp(revision: number): void;
   /** A peer beside the sources told all that it knew so long ago. */
-  noteKnown(age: Millis): void;
+  noteSynced(age: Millis): void;
   /** Whether the store, or a source that hears it, answers. */
-  setHearing(isHearing: boolean): void;
-  isHearing(): boolean;
-  readState(): NewsState;
+  setReachable(isReachable: boolean): void;
+  isCurrent(): boolean;
+  readState(): UpdateState;
   /** This instance leaves, and is no source any longer. */
   noteLeaving(): void;
 }
@@ -113,7 +117,7 @@
 const LONGEST_HEARING_AGE: Millis = 3500;
 
 /** Starts with no news; nothing is asked before the port is. */
-export function createRelayNews(options: RelayNewsOptions): RelayNews {
+export function createRelayUpdates(options: RelayUpdatesOptions): RelayUpdates {
   const { timers, store, mirror } = options;
   const pausedUntil = new Map<InstanceId, Millis>();
   const waiting = new Set<() => void>();
@@ -121,13 +125,13 @@
   let turn = 0;
   let lostAt: Millis | null = null;
   let isLeaving = false;
-  const age = createNewsAge(timers);
-  const direct = createNewsStore({
+  const age = createStalenessTracker(timers);
+  const direct = createStoreReads({
     timers,
     store,
     mirror,
     age,
-    isShared: () => options.getPart().isShared,
+    isShared: () => options.getRole().isShared,
     getLostAt: () => lostAt,
   });
 
@@ -143,7 +147,7 @@
       return [];
     }
     const sources = options
-      .getPart()
+      .getRole()
       .sources.filter(({ id }) => (pausedUntil.get(id) ?? -Infinity) <= now);
     turn += 1;
     const first = turn % Math.max(1, sources.length);
@@ -151,12 +155,12 @@
   }
 
   /** An aggregator that watches the store for a while, since no watcher has news, may tell other aggregators too. */
-  function getLevel(): NewsLevelValue {
-    return timers.now() < directUntil ? NewsLevel.Watcher : options.getPart().level;
+  function getLevel(): FanoutLevelValue {
+    return timers.now() < directUntil ? FanoutLevel.Watcher : options.getRole().level;
   }
 
   function forgetFormerSources(): void {
-    const ids = new Set(options.getPart().sources.map(({ id }) => id));
+    const ids = new Set(options.getRole().sources.map(({ id }) => id));
     [...pausedUntil.keys()].filter((id) => !ids.has(id)).forEach((id) => pausedUntil.delete(id));
   }
 
@@ -169,10 +173,10 @@
     const work = options.readOwnWork();
     const longest = Math.min(wait, options.isCrowded() ? CROWDED_HOLD : HOLD);
     const hold = pausedUntil.has(source.id) ? 0 : longest;
-    const { level } = options.getPart();
+    const { level } = options.getRole();
     const ask = { since, hold, level, takesWhole: true, from: options.self, work };
     const askedAt = timers.now();
-    const answer = await options.askNews(source, ask, hold + ASK_MARGIN);
+    const answer = await options.askForUpdates(source, ask, hold + ASK_MARGIN);
     if (answer.kind === 'silent') {
       pausedUntil.set(source.id, timers.now() + SILENT_PAUSE);
       forgetFormerSources();
@@ -186,7 +190,7 @@
     age.noteAnswer(source.id, answer.age + Math.max(0, timers.now() - askedAt - answer.held));
     options.work.hear(answer.others);
     const { changes } = answer;
-    return { kind: 'events', events: mirror.prepare(changes), revision: changes.revision };
+    return { kind: 'events', events: mirror.toEvents(changes), revision: changes.revision };
   }
 
   async function watchRange(
@@ -194,7 +198,7 @@
   ): Promise<StoreOutcome<StoreChanges>> {
     const [prefix, followed, wait, callOptions] = args;
     // Peers beside the sources may have told more.
-    const since = Math.max(followed, mirror.getComplete());
+    const since = Math.max(followed, mirror.getCompleteRevision());
     const asked = listAsked();
     for (const source of asked) {
       const value = await askSource(source, since, wait);
@@ -214,7 +218,7 @@
   /** While the store is lost, each round ends here, and the first says it for all. */
   function noteDirect(asked: readonly InstanceEntry[]): void {
     if (timers.now() >= directUntil) {
-      options.onDirect(asked.map(({ id }) => id));
+      options.onDirectWatch(asked.map(({ id }) => id));
     }
     directUntil = timers.now() + DIRECT_TIME;
   }
@@ -236,22 +240,22 @@
    * know it. One that began later than what is asked for has not heard what was removed before, and would leave
    * the asker with keys that are gone.
    */
-  function mayAnswer({ since, level, takesWhole }: NewsAsk): boolean {
+  function mayAnswer({ since, level, takesWhole }: UpdateQuery): boolean {
     return (
       lostAt === null &&
       age.get() <= LONGEST_SOURCE_AGE &&
       getLevel() < level &&
       !isLeaving &&
-      (mirror.canTellSince(since) || (takesWhole && mirror.canTellWhole()))
+      (mirror.hasChangesSince(since) || (takesWhole && mirror.hasFullState()))
     );
   }
 
   /** Whether the asker knows all that this instance knows in full. */
   function isUpToDate(since: number): boolean {
-    return mirror.canTellSince(since) && mirror.getComplete() <= since;
+    return mirror.hasChangesSince(since) && mirror.getCompleteRevision() <= since;
   }
 
-  function readAnswer(ask: NewsAsk, held: Millis): NewsAnswer {
+  function readAnswer(ask: UpdateQuery, held: Millis): UpdateAnswer {
     if (!mayAnswer(ask)) {
       return { kind: 'deaf' };
     }
@@ -283,13 +287,13 @@
       return readAnswer(ask, timers.now() - askedAt);
     },
     noteCaughtUp(revision) {
-      age.noteTaken();
+      age.noteApplied();
       if (mirror.noteComplete(revision)) {
         wakeWaiting();
       }
     },
-    noteKnown: age.noteKnown,
-    setHearing(next) {
+    noteSynced: age.noteSynced,
+    setReachable(next) {
       if (next) {
         lostAt = null;
       } else {
@@ -297,7 +301,7 @@
         wakeWaiting();
       }
     },
-    isHearing: () => lostAt === null && age.get() <= LONGEST_HEARING_AGE,
+    isCurrent: () => lostAt === null && age.get() <= LONGEST_HEARING_AGE,
     readState: age.readState,
     noteLeaving() {
       isLeaving = true;
--- a/packages/relay/src/__tests__/unit/RelayConfigSoak.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayConfigSoak.test.ts
@@ -2,8 +2,8 @@
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
-import type { KnowledgeBed, KnowingMember } from './RelayKnowledgeBed.js';
-import { CONFIG_KEY, createKnowledgeBed, STORE, writeConfig } from './RelayKnowledgeBed.js';
+import type { SyncBed, SyncMember } from './RelaySyncBed.js';
+import { CONFIG_KEY, createSyncBed, STORE, writeConfig } from './RelaySyncBed.js';
 
 /** More by hand: SOAK_SEEDS=50 npx mocha --no-config --timeout 0 --spec FILE */
 const SEEDS = Number(process.env.SOAK_SEEDS ?? 3);
@@ -25,7 +25,7 @@
 }
 
 /** Faults that hold for a while, drawn anew at each step. */
-function createFaults(random: Random, bed: KnowledgeBed) {
+function createFaults(random: Random, bed: SyncBed) {
   const until = new Map<string, Millis>();
   const isOn = (name: string): boolean => (until.get(name) ?? 0) > bed.timers.now();
   const begin = (name: string, longest: Millis): void => {
@@ -35,7 +35,7 @@
   bed.setMute((id) => isOn(`mute ${id}`));
   return {
     draw() {
-      const { id } = bed.members[random.nextInt(INSTANCES)] as KnowingMember;
+      const { id } = bed.members[random.nextInt(INSTANCES)] as SyncMember;
       const kind = random.nextFloat();
       if (kind < 0.25) {
         begin(`cut ${id}`, 5000);
@@ -51,14 +51,14 @@
   };
 }
 
-function getNewest({ inForceAt }: KnowingMember): number {
+function getNewest({ inForceAt }: SyncMember): number {
   return Math.max(0, ...inForceAt.keys());
 }
 
 /** Nobody takes what it knows for younger than it is: by the age that it states it holds all versions from before. */
-function checkAges(bed: KnowledgeBed, written: readonly Written[], name: string): void {
+function checkAges(bed: SyncBed, written: readonly Written[], name: string): void {
   bed.members.forEach((member) => {
-    const asOf = bed.timers.now() - member.knowledge.news.readState().age;
+    const asOf = bed.timers.now() - member.sync.updates.readState().age;
     const missed = written.filter(
       ({ version, at }) => at < asOf - SLACK && version > getNewest(member),
     );
@@ -69,7 +69,7 @@
 async function playSeed(seed: number): Promise<void> {
   const random = createRandom(seed);
   const shares = new Map<string, number>();
-  const bed = createKnowledgeBed({
+  const bed = createSyncBed({
     instances: INSTANCES,
     getRate: (place) => (place === STORE ? STORE_LINK : (shares.get(place) ?? 1) * NARROW_LINK),
   });
--- a/packages/relay/src/__tests__/unit/RelayConfirm.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayConfirm.test.ts
@@ -26,9 +26,9 @@
           questions.push({ revision, wait, answer: resolve });
         }),
     },
-    getComplete: () => 7,
+    getCompleteRevision: () => 7,
     onEvents: onEvents ?? ((list) => events.push(...list)),
-    onKnown: (age) => known.push(age),
+    onSynced: (age) => known.push(age),
   });
   return {
     timers,
--- a/packages/relay/src/__tests__/unit/RelayIntake.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayIntake.test.ts
@@ -8,7 +8,7 @@
 import type { ServiceSink, ServiceSpec } from '@skylarksail/requests/ServiceTypes';
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import { createRouteTable } from '@skylarksail/routes/RouteTable';
-import type { ConfirmNews } from '../../RelayConfirm.js';
+import type { ConfirmCurrent } from '../../RelayConfirm.js';
 import { createRelayIntake } from '../../RelayIntake.js';
 import type { RelayCall, RelayRefusal } from '../../RelayTypes.js';
 import { createConfig, createRoute } from './RelayFixtures.js';
@@ -26,7 +26,7 @@
   const calls: { spec: ServiceSpec; sink: ServiceSink }[] = [];
   const decisions: Record<string, unknown>[] = [];
   let newsAge = 400;
-  let confirm: ConfirmNews = (done) => done(false);
+  let confirm: ConfirmCurrent = (done) => done(false);
   let table: RouteTable | null = createRouteTable(
     createConfig({ routes: [createRoute(), ACCOUNTS] }),
   );
@@ -83,7 +83,7 @@
     setNewsAge(age: number) {
       newsAge = age;
     },
-    setConfirm(next: ConfirmNews) {
+    setConfirm(next: ConfirmCurrent) {
       confirm = next;
     },
     streams,
--- a/packages/relay/src/__tests__/unit/RelayLargeConfig.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLargeConfig.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import type { Millis } from '@skylarksail/core/CoreTypes';
-import { NewsLevel } from '../../RelaySources.js';
-import type { KnowingMember, KnowledgeBed } from './RelayKnowledgeBed.js';
-import { CONFIG_KEY, createKnowledgeBed, STORE, writeConfig } from './RelayKnowledgeBed.js';
+import { FanoutLevel } from '../../RelayFanout.js';
+import type { SyncMember, SyncBed } from './RelaySyncBed.js';
+import { CONFIG_KEY, createSyncBed, STORE, writeConfig } from './RelaySyncBed.js';
 
 /** Within so long a change is to be in force at the deployments with the tightest bound. */
 const IN_FORCE: Millis = 2000;
@@ -17,8 +17,8 @@
 const SETTLED: Millis = 6000;
 const STORM_GAP: Millis = 330;
 
-async function startFleet(getShare: (id: string) => number = () => 1): Promise<KnowledgeBed> {
-  const bed = createKnowledgeBed({
+async function startFleet(getShare: (id: string) => number = () => 1): Promise<SyncBed> {
+  const bed = createSyncBed({
     instances: INSTANCES,
     getRate: (place) => (place === STORE ? STORE_LINK : getShare(place) * NARROW_LINK),
   });
@@ -27,15 +27,15 @@
 }
 
 /** Instances whose news is so old that they cannot say of a route that it does not exist. */
-function listDoubting(members: readonly KnowingMember[]): readonly string[] {
+function listDoubting(members: readonly SyncMember[]): readonly string[] {
   return members
-    .filter(({ knowledge }) => knowledge.news.readState().age > STABLE_AGAIN)
+    .filter(({ sync: knowledge }) => knowledge.updates.readState().age > STABLE_AGAIN)
     .map(({ id }) => id);
 }
 
 /** Writes versions one after the other; the time of the last is returned. */
 async function writeSeries(
-  { timers, store }: KnowledgeBed,
+  { timers, store }: SyncBed,
   first: number,
   count: number,
   gap: Millis,
@@ -54,21 +54,21 @@
     const bed = await startFleet();
     const at = await writeSeries(bed, 2, 1, 0);
     await bed.timers.advanceToAsync(at + IN_FORCE);
-    expect(bed.listKnowing(2, at + IN_FORCE)).to.have.length(INSTANCES);
+    expect(bed.listUpToDate(2, at + IN_FORCE)).to.have.length(INSTANCES);
   });
 
   it('is in time where half of each link is taken', async () => {
     const bed = await startFleet(() => 0.5);
     const at = await writeSeries(bed, 2, 1, 0);
     await bed.timers.advanceToAsync(at + IN_FORCE);
-    expect(bed.listKnowing(2, at + IN_FORCE)).to.have.length(INSTANCES);
+    expect(bed.listUpToDate(2, at + IN_FORCE)).to.have.length(INSTANCES);
   });
 
   it('is in time at the end of a series', async () => {
     const bed = await startFleet();
     const at = await writeSeries(bed, 2, 12, STORM_GAP);
     await bed.timers.advanceToAsync(at + IN_FORCE);
-    expect(bed.listKnowing(13, at + IN_FORCE)).to.have.length(INSTANCES);
+    expect(bed.listUpToDate(13, at + IN_FORCE)).to.have.length(INSTANCES);
   });
 
   it('is known again soon after the store was out of reach for all', async () => {
@@ -80,7 +80,7 @@
     const at = bed.timers.now();
     bed.setCut(() => false);
     await bed.timers.advanceToAsync(at + STABLE_AGAIN);
-    expect(bed.listKnowing(9, at + STABLE_AGAIN)).to.have.length(INSTANCES);
+    expect(bed.listUpToDate(9, at + STABLE_AGAIN)).to.have.length(INSTANCES);
   });
 
   it('is heard from sources again, though the store stays out of reach for some', async () => {
@@ -94,7 +94,9 @@
     bed.store.remove('engine');
     bed.store.put('another', 'registered');
     await bed.timers.advanceToAsync(bed.timers.now() + 1500);
-    const watchers = bed.members.filter(({ getPart }) => getPart().level === NewsLevel.Watcher);
+    const watchers = bed.members.filter(
+      ({ getRole: getPart }) => getPart().level === FanoutLevel.Watcher,
+    );
     const away = bed.members.filter(
       (member, index) => index % 4 === 0 && !watchers.includes(member),
     );
@@ -109,10 +111,12 @@
     for (const share of [0.05, 0.1, 0.2]) {
       let slow = '';
       const bed = await startFleet((id) => (id === slow ? share : 1));
-      slow = bed.members.find(({ getPart }) => getPart().level === NewsLevel.Aggregator)?.id ?? '';
+      slow =
+        bed.members.find(({ getRole: getPart }) => getPart().level === FanoutLevel.Aggregator)
+          ?.id ?? '';
       const at = await writeSeries(bed, 2, 1, 0);
       await bed.timers.advanceToAsync(at + IN_FORCE);
-      const knowing = bed.listKnowing(2, at + IN_FORCE).filter((id) => id !== slow);
+      const knowing = bed.listUpToDate(2, at + IN_FORCE).filter((id) => id !== slow);
       expect(knowing, `share ${share}`).to.have.length(INSTANCES - 1);
     }
   });
@@ -125,6 +129,6 @@
     await bed.timers.advanceToAsync(bed.timers.now() + 5000);
     const at = await writeSeries(bed, 2, 1, 0);
     await bed.timers.advanceToAsync(at + IN_FORCE);
-    expect(bed.listKnowing(2, at + IN_FORCE)).to.have.length(INSTANCES);
+    expect(bed.listUpToDate(2, at + IN_FORCE)).to.have.length(INSTANCES);
   });
 });
--- a/packages/relay/src/__tests__/unit/RelayLinks.ts
+++ b/packages/relay/src/__tests__/unit/RelayLinks.ts
@@ -13,7 +13,7 @@
    * Carries an answer between two places. False if there is no time left in which it may begin, or if it does not end
    * within the time that a whole answer may take; then the rest is not sent.
    */
-  carry(
+  transfer(
     from: string,
     to: string,
     bytes: number,
@@ -73,7 +73,7 @@
   }
 
   return {
-    carry: (from, to, bytes, { timeLeft, whole }) =>
+    transfer: (from, to, bytes, { timeLeft, whole }) =>
       new Promise((end) => {
         if (transfers.length === 0) {
           timers.registerTimeout(TICK, tick);
@@ -122,7 +122,7 @@
     const outcome = await work;
     const bytes = outcome.kind === 'done' ? countBytes(outcome.value) : OVERHEAD_BYTES;
     const begunAt = timers.now();
-    const isThere = await links.carry('store', self, bytes, {
+    const isThere = await links.transfer('store', self, bytes, {
       timeLeft: until - begunAt,
       whole: LARGE_ANSWER.whole,
     });
--- a/packages/relay/src/__tests__/unit/RelayParts.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayParts.test.ts
@@ -101,7 +101,7 @@
           const answer = gone.has(peer) ? undefined : parts.get(peer)?.peers.answer(since, true);
           return Promise.resolve(answer ?? { kind: 'silent' });
         },
-        askNews: async ({ id: peer }, ask) => {
+        askForUpdates: async ({ id: peer }, ask) => {
           const answer = gone.has(peer) ? undefined : await parts.get(peer)?.news.answer(ask);
           return answer ?? { kind: 'silent' };
         },
--- a/packages/relay/src/__tests__/unit/RelayPeerCodec.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPeerCodec.test.ts
@@ -3,8 +3,8 @@
 import { pack, unpack } from 'msgpackr';
 import type { AnswerFormName, PeerCodec } from '../../RelayPeerCodec.js';
 import { AnswerForm, createPeerCodec } from '../../RelayPeerCodec.js';
-import type { PeerNews } from '../../RelayPeers.js';
-import { CONFIG_KEY, writeConfig } from './RelayKnowledgeBed.js';
+import type { PeerUpdates } from '../../RelayPeers.js';
+import { CONFIG_KEY, writeConfig } from './RelaySyncBed.js';
 
 const NO_WORK = { running: [], lost: [] };
 const LARGE = { key: CONFIG_KEY, value: writeConfig(2, 1640), revision: 7 };
@@ -12,7 +12,7 @@
 const FORMER = { items: [LARGE, SMALL], removed: [{ key: 'gone', revision: 9 }], revision: 9 };
 const CHANGES = { isWhole: false, ...FORMER };
 
-function packPeerNews(codec: PeerCodec, news: PeerNews, form: AnswerFormName): Buffer {
+function packPeerNews(codec: PeerCodec, news: PeerUpdates, form: AnswerFormName): Buffer {
   return codec.packPeerAnswer({ kind: 'news', ...news }, form) as Buffer;
 }
 
@@ -27,20 +27,20 @@
     for (const age of [400, null]) {
       const told = { changes: CHANGES, age };
       expect(
-        createPeerCodec().readPeerNews(packPeerNews(sender, told, AnswerForm.Deflated)),
+        createPeerCodec().readPeerUpdates(packPeerNews(sender, told, AnswerForm.Deflated)),
       ).to.deep.equal(told);
     }
-    expect(createPeerCodec().readNews(sender.packNews(news, AnswerForm.Deflated))).to.deep.equal(
-      news,
-    );
+    expect(
+      createPeerCodec().readUpdates(sender.packUpdates(news, AnswerForm.Deflated)),
+    ).to.deep.equal(news);
     // Twelve subscribers of an aggregator hear it within a quarter of a second on a link of 14 Mbit/s.
-    expect(sender.packNews(news, AnswerForm.Deflated).byteLength).to.be.below((1750 * 250) / 12);
+    expect(sender.packUpdates(news, AnswerForm.Deflated).byteLength).to.be.below((1750 * 250) / 12);
   });
 
   it('passes a value on as it came', () => {
     const body = packPeerNews(createPeerCodec(), { changes: CHANGES, age: 0 }, AnswerForm.Deflated);
     const aggregator = createPeerCodec();
-    const heard = aggregator.readPeerNews(body);
+    const heard = aggregator.readPeerUpdates(body);
     expect(packPeerNews(aggregator, heard, AnswerForm.Deflated)).to.deep.equal(body);
   });
 
@@ -53,7 +53,7 @@
       packItem({ key: 'a', revision: 1, deflated: Buffer.from('x') }),
     ];
     const codec = createPeerCodec();
-    bodies.forEach((body) => expect(() => codec.readPeerNews(body)).to.throw());
+    bodies.forEach((body) => expect(() => codec.readPeerUpdates(body)).to.throw());
   });
 
   it('is understood by instances of the version before, and understands them', () => {
@@ -62,11 +62,11 @@
     const codec = createPeerCodec();
     const plain = packPeerNews(codec, { changes: CHANGES, age: 400 }, AnswerForm.Plain);
     expect(unpack(plain)).to.deep.include(FORMER);
-    expect(codec.readPeerNews(pack(FORMER))).to.deep.equal({ changes: CHANGES, age: null });
+    expect(codec.readPeerUpdates(pack(FORMER))).to.deep.equal({ changes: CHANGES, age: null });
     const told = { changes: CHANGES, others: NO_WORK };
-    const news = codec.packNews({ ...told, age: 400, held: 300 }, AnswerForm.Plain);
+    const news = codec.packUpdates({ ...told, age: 400, held: 300 }, AnswerForm.Plain);
     expect(unpack(news)).to.deep.include(told);
-    const heard = codec.readNews(pack({ kind: 'news', changes: FORMER, others: NO_WORK }));
+    const heard = codec.readUpdates(pack({ kind: 'news', changes: FORMER, others: NO_WORK }));
     expect(heard).to.deep.equal({ ...told, age: 0, held: 0 });
   });
 });
--- a/packages/relay/src/__tests__/unit/RelayPeers.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPeers.test.ts
@@ -22,8 +22,8 @@
 
 /** Takes an empty whole in, as of a revision. */
 function takeWhole(mirror: Mirror, revision: number): void {
-  const events = mirror.prepare({ isWhole: true, items: [], removed: [], revision });
-  events.forEach((event) => mirror.take(event));
+  const events = mirror.toEvents({ isWhole: true, items: [], removed: [], revision });
+  events.forEach((event) => mirror.apply(event));
   mirror.noteComplete(revision);
 }
 
@@ -52,12 +52,12 @@
         return Promise.resolve(answer ?? { kind: 'silent' as const });
       },
       listInstances: () => instances,
-      onEvent: (event) => mirror.take(event),
-      listSeen: () => seen[i] ?? [],
-      onSeen: (entry) => told.push(`${self.id}: ${entry.id} ${entry.state}`),
-      onHeard: () => undefined,
-      getNewsAge: () => 400,
-      onKnown: (age) => ages[i]?.push(age),
+      onEvent: (event) => mirror.apply(event),
+      listObserved: () => seen[i] ?? [],
+      onObserved: (entry) => told.push(`${self.id}: ${entry.id} ${entry.state}`),
+      onRevision: () => undefined,
+      getStaleness: () => 400,
+      onSynced: (age) => ages[i]?.push(age),
     });
   });
   return { timers, mirrors, peers, deaf, seen, told, ages };
@@ -69,11 +69,11 @@
     // Sequence: a peer tells of revision 9; then the store answers again and tells 7, 8, 9.
     // Cause: events are believed in the order in which they are heard.
     const mirror = createMirror();
-    expect(mirror.take(write('a', 'new', 9))).to.equal(true);
-    expect(mirror.take(write('a', 'old', 7))).to.equal(false);
-    expect(mirror.take({ kind: 'removed', key: 'a', revision: 8 })).to.equal(false);
-    expect(mirror.take({ kind: 'removed', key: 'a', revision: 10 })).to.equal(true);
-    expect(mirror.take(write('a', 'old', 9))).to.equal(false);
+    expect(mirror.apply(write('a', 'new', 9))).to.equal(true);
+    expect(mirror.apply(write('a', 'old', 7))).to.equal(false);
+    expect(mirror.apply({ kind: 'removed', key: 'a', revision: 8 })).to.equal(false);
+    expect(mirror.apply({ kind: 'removed', key: 'a', revision: 10 })).to.equal(true);
+    expect(mirror.apply(write('a', 'old', 9))).to.equal(false);
     expect(mirror.readSince(0, false)).to.deep.include({
       items: [],
       removed: [{ key: 'a', revision: 10 }],
@@ -82,9 +82,9 @@
 
   it('finds in a snapshot what was removed, but nothing that was written after it', () => {
     const mirror = createMirror();
-    mirror.take(write('a', '1', 3));
-    mirror.take(write('b', '1', 9));
-    const events = mirror.prepare({ isWhole: true, items: [], removed: [], revision: 5 });
+    mirror.apply(write('a', '1', 3));
+    mirror.apply(write('b', '1', 9));
+    const events = mirror.toEvents({ isWhole: true, items: [], removed: [], revision: 5 });
     expect(events).to.deep.equal([{ kind: 'removed', key: 'a', revision: 5 }]);
   });
 
@@ -94,11 +94,11 @@
     // and had no removal to tell, but took all since before for known.
     const mirror = createMirror();
     takeWhole(mirror, 100);
-    expect(mirror.canTellSince(102)).to.equal(true);
+    expect(mirror.hasChangesSince(102)).to.equal(true);
     takeWhole(mirror, 110);
-    expect(mirror.canTellSince(102)).to.equal(false);
+    expect(mirror.hasChangesSince(102)).to.equal(false);
     expect(mirror.readSince(102, true).isWhole).to.equal(true);
-    expect(mirror.canTellSince(110)).to.equal(true);
+    expect(mirror.hasChangesSince(110)).to.equal(true);
   });
 });
 
@@ -110,8 +110,8 @@
     const { timers, mirrors, peers, deaf } = createPeersBed();
     deaf.add(1);
     peers[0]?.noteStoreLost();
-    mirrors[2]?.take(write('config', 'next', 5));
-    mirrors[2]?.take({ kind: 'removed', key: 'server', revision: 6 });
+    mirrors[2]?.apply(write('config', 'next', 5));
+    mirrors[2]?.apply({ kind: 'removed', key: 'server', revision: 6 });
     await timers.advanceToAsync(1200);
     const known = mirrors[0]?.readSince(0, false);
     expect(known?.items.map(({ key, revision }) => [key, revision])).to.deep.equal([['config', 5]]);
@@ -121,7 +121,7 @@
   it('is told nothing by a peer that does not hear the store itself, and asks no one when it is back', async () => {
     const { timers, mirrors, peers } = createPeersBed();
     peers.forEach((peer) => peer.noteStoreLost());
-    mirrors[2]?.take(write('config', 'next', 5));
+    mirrors[2]?.apply(write('config', 'next', 5));
     await timers.advanceToAsync(2000);
     expect(mirrors[0]?.readSince(0, false)).to.deep.include({ items: [], removed: [] });
     peers.forEach((peer) => peer.noteStoreRegained());
@@ -135,14 +135,14 @@
     // Guards against a change that peers are never asked for, since a later one was seen beside it.
     const { timers, mirrors, peers, ages } = createPeersBed();
     mirrors.forEach((mirror) => takeWhole(mirror, 5));
-    mirrors[0]?.take(write('engine', 'registered', 8));
-    mirrors[2]?.take(write('config', 'next', 7));
-    mirrors[2]?.take(write('engine', 'registered', 8));
+    mirrors[0]?.apply(write('engine', 'registered', 8));
+    mirrors[2]?.apply(write('config', 'next', 7));
+    mirrors[2]?.apply(write('engine', 'registered', 8));
     mirrors[2]?.noteComplete(8);
     peers[0]?.noteStoreLost();
     await timers.advanceToAsync(1200);
     expect(mirrors[0]?.readSince(0, true).items.map(({ key }) => key)).to.include('config');
-    expect(mirrors[0]?.getComplete()).to.equal(8);
+    expect(mirrors[0]?.getCompleteRevision()).to.equal(8);
     expect(ages[0]).to.include(400);
   });
 
@@ -151,15 +151,15 @@
     // anew, and could not tell what had come and gone before.
     const { timers, mirrors, peers, ages } = createPeersBed();
     takeWhole(mirrors[0] as Mirror, 5);
-    mirrors[0]?.take(write('engine', 'registered', 5));
+    mirrors[0]?.apply(write('engine', 'registered', 5));
     takeWhole(mirrors[2] as Mirror, 9);
-    mirrors[2]?.take(write('config', 'next', 8));
+    mirrors[2]?.apply(write('config', 'next', 8));
     expect(mirrors[2]?.readSince(5, false).revision).to.equal(5);
     peers[0]?.noteStoreLost();
     await timers.advanceToAsync(1200);
     expect(mirrors[0]?.readSince(9, true).items).to.deep.equal([]);
     expect(mirrors[0]?.readSince(0, true).items.map(({ key }) => key)).to.deep.equal(['config']);
-    expect(mirrors[0]?.getComplete()).to.equal(9);
+    expect(mirrors[0]?.getCompleteRevision()).to.equal(9);
     expect(ages[0]).to.include(400);
   });
 });
@@ -174,20 +174,20 @@
     seen[2] = [createBackend('x', { domain: 'e', state: 'leaving' })];
     seen[1] = [createBackend('own', { domain: 'd' })];
     peers.forEach((peer) => peer.noteStoreLost());
-    expect(peers[0]?.isBlind()).to.equal(false);
+    expect(peers[0]?.isIsolated()).to.equal(false);
     peers[1]?.noteLeaving();
     await timers.advanceToAsync(2000);
-    expect(peers[0]?.isBlind()).to.equal(true);
-    expect(peers[0]?.isSilent('two')).to.equal(true);
-    expect(peers[0]?.isSilent('three')).to.equal(false);
+    expect(peers[0]?.isIsolated()).to.equal(true);
+    expect(peers[0]?.isUnresponsive('two')).to.equal(true);
+    expect(peers[0]?.isUnresponsive('three')).to.equal(false);
     expect(new Set(told.filter((what) => what.startsWith('one')))).to.deep.equal(
       new Set(['one: x leaving']),
     );
-    mirrors[2]?.take(write('config', 'next', 5));
+    mirrors[2]?.apply(write('config', 'next', 5));
     peers[2]?.noteStoreRegained();
     deaf.delete(2);
     await timers.advanceToAsync(4000);
-    expect(peers[0]?.isBlind()).to.equal(false);
+    expect(peers[0]?.isIsolated()).to.equal(false);
     expect(mirrors[0]?.readSince(0, false).items).to.deep.equal([
       { key: 'config', value: 'next', revision: 5 },
     ]);
@@ -220,11 +220,11 @@
         },
         listInstances: () => instances,
         onEvent: () => undefined,
-        listSeen: () => [],
-        onSeen: () => undefined,
-        onHeard: () => undefined,
-        getNewsAge: () => 0,
-        onKnown: () => undefined,
+        listObserved: () => [],
+        onObserved: () => undefined,
+        onRevision: () => undefined,
+        getStaleness: () => 0,
+        onSynced: () => undefined,
       });
       for (let i = 0; i < losses; i++) {
         peers.noteStoreLost();
@@ -246,20 +246,20 @@
     const server = createPeerHttp(createSystemTimers());
     const client = createPeerHttp(createSystemTimers());
     const mirror = createMirror();
-    mirror.take(write('a', 'ä', 3));
+    mirror.apply(write('a', 'ä', 3));
     let hasNews = true;
     const host = '127.0.0.1';
     const answer = (since: number): PeerAnswer =>
       hasNews
         ? { kind: 'news', changes: mirror.readSince(since, true), age: 400 }
-        : { kind: 'deaf', seen: [createBackend('a')] };
+        : { kind: 'deaf', observed: [createBackend('a')] };
     const address = {
       host,
       port: await server.listen(
         { host, port: 0 },
         {
           changes: answer,
-          news: () => Promise.resolve({ kind: 'deaf' }),
+          updates: () => Promise.resolve({ kind: 'deaf' }),
           grant: (_service, wanted) => wanted,
         },
       ),
--- a/packages/relay/src/__tests__/unit/RelaySuspension.test.ts
+++ b/packages/relay/src/__tests__/unit/RelaySuspension.test.ts
@@ -9,13 +9,13 @@
     let slept = 0;
     const suspension = createRelaySuspension(timers, () => 1_000_000 + timers.now() + slept);
     timers.advanceTo(60_000);
-    expect(suspension.getEnd()).to.equal(-Infinity);
+    expect(suspension.getResumedAt()).to.equal(-Infinity);
     slept += 5000;
-    expect(suspension.getEnd()).to.equal(60_000);
+    expect(suspension.getResumedAt()).to.equal(60_000);
     timers.advanceTo(61_000);
-    expect(suspension.getEnd()).to.equal(60_000);
+    expect(suspension.getResumedAt()).to.equal(60_000);
     // A time of day that is set back says nothing.
     slept -= 9000;
-    expect(suspension.getEnd()).to.equal(60_000);
+    expect(suspension.getResumedAt()).to.equal(60_000);
   });
 });
--- a/packages/relay/src/__tests__/unit/RelayKnowledgeBed.ts
+++ b/packages/relay/src/__tests__/unit/RelaySyncBed.ts
@@ -10,17 +10,17 @@
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
 import type { StoreRangePort } from '@skylarksail/store/StoreRange';
 import { createCatalogue } from '../../RelayCatalogue.js';
-import type { RelayKnowledge } from '../../RelayKnowledge.js';
-import { startRelayKnowledge } from '../../RelayKnowledge.js';
+import type { RelaySync } from '../../RelaySync.js';
+import { startRelaySync } from '../../RelaySync.js';
 import { createRelayLease } from '../../RelayLease.js';
 import type { RelayLease } from '../../RelayLease.js';
-import type { NewsAnswer } from '../../RelayNews.js';
-import { PEER_ANSWER } from '../../RelayPeerHttp.js';
+import type { UpdateAnswer } from '../../RelayUpdates.js';
+import { PEER_ANSWER_LIMITS } from '../../RelayPeerHttp.js';
 import type { PeerCodec } from '../../RelayPeerCodec.js';
 import { AnswerForm, createPeerCodec } from '../../RelayPeerCodec.js';
 import type { PeerAnswer } from '../../RelayPeers.js';
-import type { NewsPart } from '../../RelaySources.js';
-import { selectNewsPart } from '../../RelaySources.js';
+import type { FanoutRole } from '../../RelayFanout.js';
+import { selectFanoutRole } from '../../RelayFanout.js';
 import type { StoreContent } from '../../RelayTypes.js';
 import { createConfig, createRoute } from './RelayFixtures.js';
 import type { FakeLinks, LinkRate } from './RelayLinks.js';
@@ -34,33 +34,33 @@
 const NO_WORK = { running: [], lost: [] };
 
 /** One instance, with the configurations that it put in force. */
-export interface KnowingMember {
+export interface SyncMember {
   readonly id: string;
   /** From whom it hears now. */
-  readonly getPart: () => NewsPart;
-  readonly knowledge: RelayKnowledge;
+  readonly getRole: () => FanoutRole;
+  readonly sync: RelaySync;
   readonly lease: RelayLease;
   /** When each version came in force. */
   readonly inForceAt: Map<number, Millis>;
 }
 
-export interface KnowledgeBedOptions {
+export interface SyncBedOptions {
   readonly instances: number;
   /** Bytes a millisecond; that of the store where the place is the store. */
   readonly getRate: (place: string) => LinkRate;
 }
 
-export interface KnowledgeBed {
+export interface SyncBed {
   readonly timers: VirtualTimers;
   readonly store: FakeRangeStore;
   readonly links: FakeLinks;
-  readonly members: readonly KnowingMember[];
+  readonly members: readonly SyncMember[];
   /** Turns some instances away from the store without a word. */
   setCut(isCut: (id: string) => boolean): void;
   /** Lets some instances answer no peer. */
   setMute(isMute: (id: string) => boolean): void;
   /** Instances at which a version, or a later one, came in force no later than a time. */
-  listKnowing(version: number, by: Millis): readonly string[];
+  listUpToDate(version: number, by: Millis): readonly string[];
 }
 
 /** The text of a configuration with so many routes, as long as the operators' own. */
@@ -114,25 +114,25 @@
 }
 
 /** Bytes of an answer as peers send it. */
-function countAnswerBytes(answer: PeerAnswer | NewsAnswer, codec: PeerCodec): number {
+function countAnswerBytes(answer: PeerAnswer | UpdateAnswer, codec: PeerCodec): number {
   if (answer.kind !== 'news') {
     return ANSWER_BYTES;
   }
   const body =
     'others' in answer
-      ? codec.packNews(answer, AnswerForm.Deflated)
+      ? codec.packUpdates(answer, AnswerForm.Deflated)
       : codec.packPeerAnswer(answer, AnswerForm.Deflated);
   return ANSWER_BYTES + (body?.byteLength ?? 0);
 }
 
 /** Starts the fleet. */
-export function createKnowledgeBed({ instances, getRate }: KnowledgeBedOptions): KnowledgeBed {
+export function createSyncBed({ instances, getRate }: SyncBedOptions): SyncBed {
   const timers = createVirtualTimers();
   const store = createFakeRangeStore(timers);
   const links = createFakeLinks(timers, getRate);
   const codec = createPeerCodec();
   const readContent = createReader();
-  const members: KnowingMember[] = [];
+  const members: SyncMember[] = [];
   let isCut: (id: string) => boolean = () => false;
   let isMute: (id: string) => boolean = () => false;
 
@@ -155,9 +155,9 @@
       await sleep(until - begunAt);
       return { kind: 'silent' };
     }
-    const isThere = await links.carry(from, to, bytes, {
+    const isThere = await links.transfer(from, to, bytes, {
       timeLeft: until - begunAt,
-      whole: PEER_ANSWER.whole,
+      whole: PEER_ANSWER_LIMITS.whole,
     });
     return isThere ? answer : { kind: 'silent' };
   }
@@ -180,7 +180,7 @@
     };
   }
 
-  function start(index: number): KnowingMember {
+  function start(index: number): SyncMember {
     const id = `i${index}`;
     const self = {
       id,
@@ -199,7 +199,7 @@
       listDomains: () => [],
       onError: () => undefined,
     });
-    const knowledge = startRelayKnowledge({
+    const knowledge = startRelaySync({
       self,
       timers,
       random,
@@ -209,19 +209,19 @@
       askPeer: async ({ port: to }, since, timeout) => {
         const until = timers.now() + timeout;
         const peer = members[to - 1];
-        const answer = peer?.knowledge.peers.answer(since, true) ?? { kind: 'silent' as const };
+        const answer = peer?.sync.peers.answer(since, true) ?? { kind: 'silent' as const };
         return carry(`i${to - 1}`, id, countAnswerBytes(answer, codec), until, answer);
       },
-      askNews: async ({ id: peer }, ask, timeout) => {
+      askForUpdates: async ({ id: peer }, ask, timeout) => {
         const until = timers.now() + timeout;
         const source = members.find((member) => member.id === peer);
-        const heard = await source?.knowledge.news.answer(ask);
+        const heard = await source?.sync.updates.answer(ask);
         const answer = heard ?? { kind: 'silent' as const };
         return carry(peer, id, countAnswerBytes(answer, codec), until, answer);
       },
       readOwnWork: () => NO_WORK,
       isCrowded: () => false,
-      onWork: () => undefined,
+      onOthersWork: () => undefined,
       onLost: () => undefined,
       catalogue: createCatalogue(timers),
       lease,
@@ -230,8 +230,8 @@
       onTable: ({ config }) => inForceAt.set(config.version, timers.now()),
     });
     lease.start();
-    const getPart = (): NewsPart => selectNewsPart(self, lease.listInstances());
-    return { id, getPart, knowledge, lease, inForceAt };
+    const getPart = (): FanoutRole => selectFanoutRole(self, lease.listInstances());
+    return { id, getRole: getPart, sync: knowledge, lease, inForceAt };
   }
 
   store.put(CONFIG_KEY, writeConfig(1, 1));
@@ -247,7 +247,7 @@
     setMute(next) {
       isMute = next;
     },
-    listKnowing: (version, by) =>
+    listUpToDate: (version, by) =>
       members
         .filter(({ inForceAt }) =>
           [...inForceAt].some(([known, at]) => known >= version && at <= by),
--- a/packages/relay/src/__tests__/unit/RelayNews.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
@@ -7,9 +7,9 @@
 import { registerFollow } from '@skylarksail/store/StoreFollow';
 import type { StoreEvent, StoreRangePort } from '@skylarksail/store/StoreRange';
 import { createMirror } from '../../RelayMirror.js';
-import type { RelayNews } from '../../RelayNews.js';
-import { createRelayNews } from '../../RelayNews.js';
-import { createNewsRole, NewsLevel } from '../../RelaySources.js';
+import type { RelayUpdates } from '../../RelayUpdates.js';
+import { createRelayUpdates } from '../../RelayUpdates.js';
+import { createFanoutRoleCache, FanoutLevel } from '../../RelayFanout.js';
 import type { InstanceEntry } from '../../RelayTypes.js';
 
 const INSTANCES = 60;
@@ -32,7 +32,7 @@
   readonly known: Map<string, string>;
   /** When each key was last heard of. */
   readonly heardAt: Map<string, number>;
-  news: RelayNews;
+  news: RelayUpdates;
   isGone: boolean;
   /** The way to the store swallows everything, without a word. */
   isCut: boolean;
@@ -87,19 +87,19 @@
     const mirror = createMirror();
     const known = new Map<string, string>();
     const heardAt = new Map<string, number>();
-    const role = createNewsRole(entry, listEntries);
+    const role = createFanoutRoleCache(entry, listEntries);
     const isCut = (): boolean => members.get(id)?.isCut ?? false;
-    const news = createRelayNews({
+    const news = createRelayUpdates({
       self: id,
       ...NO_WORK,
       timers,
       store: createCutPort(countingStore, timers, isCut),
       mirror,
-      getPart: role.get,
-      onDirect() {
+      getRole: role.get,
+      onDirectWatch() {
         turns += 1;
       },
-      askNews: async ({ id: peer }, ask, timeout) => {
+      askForUpdates: async ({ id: peer }, ask, timeout) => {
         const source = members.get(peer);
         if (!source || source.isGone) {
           await new Promise<void>((resolve) => {
@@ -111,7 +111,7 @@
       },
     });
     const take = (event: StoreEvent): void => {
-      if (mirror.take(event)) {
+      if (mirror.apply(event)) {
         const key = event.kind === 'written' ? event.item.key : event.key;
         heardAt.set(key, timers.now());
         if (event.kind === 'written') {
@@ -134,12 +134,12 @@
       getGatherTime: role.getGatherTime,
       listener: {
         onSnapshot(items, revision) {
-          mirror.prepare({ isWhole: true, items, removed: [], revision }).forEach(take);
+          mirror.toEvents({ isWhole: true, items, removed: [], revision }).forEach(take);
         },
         onEvent: take,
         onCaughtUp: news.noteCaughtUp,
-        onLost: () => news.setHearing(false),
-        onRegained: () => news.setHearing(true),
+        onLost: () => news.setReachable(false),
+        onRegained: () => news.setReachable(true),
       },
     });
     return member;
@@ -147,7 +147,7 @@
 
   function listSources(): readonly Member[] {
     return [...members.values()].filter(
-      ({ entry }) => createNewsRole(entry, listEntries).get().level === NewsLevel.Watcher,
+      ({ entry }) => createFanoutRoleCache(entry, listEntries).get().level === FanoutLevel.Watcher,
     );
   }
 
@@ -284,7 +284,7 @@
       await timers.advanceToAsync(at + after);
       const ages = [...members.values()].map(({ news }) => news.readState().age);
       expect(Math.min(...ages), `after ${after}`).to.be.at.least(after);
-      const hearing = [...members.values()].filter(({ news }) => news.isHearing());
+      const hearing = [...members.values()].filter(({ news }) => news.isCurrent());
       expect(after < 4000 || hearing.length === 0, `after ${after}`).to.equal(true);
     }
   });
@@ -300,7 +300,7 @@
       const before = countReads();
       store.setUp(false);
       await timers.advanceToAsync(timers.now() + loss);
-      expect([...members.values()].some(({ news }) => news.isHearing())).to.equal(false);
+      expect([...members.values()].some(({ news }) => news.isCurrent())).to.equal(false);
       Array.from({ length: 8 }, (_, i) => store.put('config', `version ${i}`));
       store.setUp(true);
       await timers.advanceToAsync(timers.now() + 3000);
@@ -312,28 +312,28 @@
   it('says nothing of times whose removals were forgotten', async () => {
     const mirror = createMirror();
     for (let i = 1; i <= 2100; i++) {
-      mirror.take({ kind: 'removed', key: `k${i}`, revision: i });
+      mirror.apply({ kind: 'removed', key: `k${i}`, revision: i });
     }
     const timers = createVirtualTimers();
-    const news = createRelayNews({
+    const news = createRelayUpdates({
       self: 'one',
       ...NO_WORK,
       timers,
       store: createFakeRangeStore(timers),
       mirror,
-      getPart: () => ({ level: NewsLevel.Watcher, sources: [], isShared: true }),
-      onDirect: () => undefined,
-      askNews: () => Promise.resolve({ kind: 'silent' }),
+      getRole: () => ({ level: FanoutLevel.Watcher, sources: [], isShared: true }),
+      onDirectWatch: () => undefined,
+      askForUpdates: () => Promise.resolve({ kind: 'silent' }),
     });
     const ask = {
       hold: 0,
-      level: NewsLevel.Subscriber,
+      level: FanoutLevel.Subscriber,
       takesWhole: false,
       from: 'two',
       work: IDLE,
     };
     await news.port.readRange('', null, { timeout: TIMEOUT });
-    mirror.prepare({ isWhole: true, items: [], removed: [], revision: 1 });
+    mirror.toEvents({ isWhole: true, items: [], removed: [], revision: 1 });
     news.noteCaughtUp(1);
     news.noteCaughtUp(2100);
     expect((await news.answer({ since: 2, ...ask })).kind).to.equal('deaf');
--- a/packages/relay/src/__tests__/unit/RelayWork.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayWork.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
-import { readNewsAsk } from '../../RelayPeerMessages.js';
+import { readUpdateQuery } from '../../RelayPeerMessages.js';
 import type { ToldWork } from '../../RelayWork.js';
 import { createRelayWork } from '../../RelayWork.js';
 
@@ -139,9 +139,9 @@
   it('reads no question that makes no sense, whatever bytes come', () => {
     const former = { since: 1, hold: 600, level: 2, from: 'i', work: IDLE };
     const ask = { ...former, takesWhole: true };
-    expect(readNewsAsk(pack(ask))).to.deep.equal(ask);
+    expect(readUpdateQuery(pack(ask))).to.deep.equal(ask);
     // Instances of an earlier version do not say whether they take all that there is, and do not.
-    expect(readNewsAsk(pack(former))).to.deep.equal({ ...former, takesWhole: false });
+    expect(readUpdateQuery(pack(former))).to.deep.equal({ ...former, takesWhole: false });
     const wrong = [
       { ...ask, takesWhole: 'yes' },
       { ...ask, since: 'x' },
@@ -152,10 +152,10 @@
       { ...ask, work: { running: [], lost: [1] } },
       null,
     ];
-    wrong.forEach((value) => expect(readNewsAsk(pack(value))).to.equal(null));
+    wrong.forEach((value) => expect(readUpdateQuery(pack(value))).to.equal(null));
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-        readNewsAsk(Buffer.from(bytes));
+        readUpdateQuery(Buffer.from(bytes));
       }),
       { seed: 11 },
     );
--- a/packages/requests/src/AttemptRunner.ts
+++ b/packages/requests/src/AttemptRunner.ts
@@ -8,7 +8,7 @@
 import { getPromptTokens } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 import { isQueueTooLong } from './RunQueue.js';
-import { listSpreads } from './RunSuspicion.js';
+import { listAvoidSets } from './RunSuspicion.js';
 
 type EffectOf<K extends RequestEffect['kind']> = Extract<RequestEffect, { kind: K }>;
 
@@ -85,7 +85,7 @@
   }
 
   function chooseSpread(choose: (others: readonly EngineId[]) => ChainChoice): ChainChoice {
-    const [first = [], ...others] = listSpreads(shared, fingerprint);
+    const [first = [], ...others] = listAvoidSets(shared, fingerprint);
     return others.reduce(
       (choice, next) => (choice.kind === 'none' ? choose(next) : choice),
       choose(first),
--- a/packages/requests/src/ClaimRunner.ts
+++ b/packages/requests/src/ClaimRunner.ts
@@ -3,7 +3,7 @@
 import { RunState } from '@skylarksail/core/CoreConstants';
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { Millis, RequestId, TeamId } from '@skylarksail/core/CoreTypes';
-import { decideClaim, RUNNING_RETRY } from './RequestClaims.js';
+import { decideClaim, RUNNING_RETRY_DELAY } from './RequestClaims.js';
 import type { ClaimOutcome, ClaimRecord } from './RequestPorts.js';
 import type { RequestProblem } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
@@ -20,12 +20,12 @@
 /** Hears of the claim: exactly one of the three, once, unless the hold was ended before. */
 export interface ClaimListener {
   readonly onGranted: () => void;
-  readonly onHeld: (answer: string) => void;
+  readonly onReplayed: (answer: string) => void;
   readonly onRefused: (problem: RequestProblem) => void;
 }
 
 /** A claim that was asked for. Ended once, by `settle` or `end`. */
-export interface ClaimHold {
+export interface ClaimHandle {
   settle(record: ClaimRecord): void;
   /** The request ended without an answer; a claim of work that never ran is given back. */
   end(run: RunStateName): void;
@@ -36,7 +36,7 @@
   shared: RouterShared,
   work: KeyedWork,
   listener: ClaimListener,
-): ClaimHold {
+): ClaimHandle {
   const { claims, timers } = shared.deps;
   let token: string | null = null;
   let isEnded = false;
@@ -47,7 +47,7 @@
     claims
       .claim({ team, key, fingerprint, request, timeLeft })
       // Nothing was sent, whatever became of the claim.
-      .catch((): ClaimOutcome => ({ kind: 'unavailable', retryAfter: RUNNING_RETRY }))
+      .catch((): ClaimOutcome => ({ kind: 'unavailable', retryAfter: RUNNING_RETRY_DELAY }))
       .then((outcome) => shared.post(() => take(outcome)));
   }
 
@@ -67,11 +67,11 @@
         listener.onGranted();
         break;
       case 'replay':
-        listener.onHeld(decision.answer);
+        listener.onReplayed(decision.answer);
         break;
       case 'wait':
-        if (work.deadline - timers.now() > 2 * RUNNING_RETRY) {
-          timers.registerTimeout(RUNNING_RETRY, () => {
+        if (work.deadline - timers.now() > 2 * RUNNING_RETRY_DELAY) {
+          timers.registerTimeout(RUNNING_RETRY_DELAY, () => {
             if (!isEnded) {
               ask();
             }
--- a/packages/requests/src/ModelRunner.ts
+++ b/packages/requests/src/ModelRunner.ts
@@ -7,9 +7,9 @@
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import { createAttemptRunner } from './AttemptRunner.js';
-import type { ClaimHold } from './ClaimRunner.js';
+import type { ClaimHandle } from './ClaimRunner.js';
 import { claimKey } from './ClaimRunner.js';
-import { LATE_TICK } from './RequestAttempt.js';
+import { LATE_TICK_TOLERANCE } from './RequestAttempt.js';
 import { decodeAnswer, encodeAnswer } from './RequestAnswers.js';
 import { stepRequest } from './RequestMachine.js';
 import type { GiveUpReasonName, RequestEffect, RequestEvent } from './RequestMessages.js';
@@ -18,24 +18,24 @@
 import type { FinishReason } from './RequestPorts.js';
 import { FailurePlace } from './RequestPorts.js';
 import type { RequestMachine } from './RequestState.js';
-import { createRequestMachine, getBeginBy } from './RequestState.js';
+import { createRequestMachine, getFirstTokenDeadline } from './RequestState.js';
 import type { RequestHandle, RequestProblem, RequestSink, RequestSpec } from './RequestTypes.js';
 import { ProblemKind } from './RequestTypes.js';
 import type { ModelRun, RouterShared } from './RouterShared.js';
 import {
   countGiveUp,
   countMetric,
-  feedBudget,
-  judgeRun,
+  creditBudget,
+  getPoisonVerdict,
   logDecision,
   returnToBudget,
 } from './RouterShared.js';
 import type { DecisionName } from './RouterTypes.js';
-import { createAdmissionAsk } from './RunAsk.js';
+import { createAdmissionRequest } from './RunAdmission.js';
 import { createRunRetries } from './RunRetries.js';
-import { RECHOOSE_LEAST } from './RunRetry.js';
-import { isStandingStill } from './RunSilence.js';
-import { clearRun, noteRunCrash, noteRunToken, stopCopies } from './RunSuspicion.js';
+import { MIN_RECHOOSE_DELAY } from './RunBackoff.js';
+import { isStalled } from './RunSilence.js';
+import { clearCrashRecords, noteRunCrash, noteRunToken, stopRunsOf } from './RunSuspicion.js';
 import { createRunWatch } from './RunWatch.js';
 
 type EffectOf<K extends RequestEffect['kind']> = Extract<RequestEffect, { kind: K }>;
@@ -56,10 +56,10 @@
     send({ kind: 'deadline' }),
   );
   let machine = createRequestMachine(spec, submittedAt);
-  let undoPatience = awaitPatience(machine.beginBy ?? Infinity);
+  let undoPatience = awaitPatience(machine.firstTokenDeadline ?? Infinity);
   let listener: RequestSink | null = sink;
   let isStarted = false;
-  let claim: ClaimHold | null = null;
+  let claim: ClaimHandle | null = null;
   let longestGap: Millis = 0;
 
   const getMachine = (): RequestMachine => machine;
@@ -84,21 +84,21 @@
         ? { engine: first, priority: spec.priority, since: machine.openedAt }
         : null;
     },
-    isStill: (now) => isStandingStill(machine, now),
+    isStalled: (now) => isStalled(machine, now),
     takePace(now) {
       const chain = attempts.getChain();
       const isBegun = machine.phase === RequestPhase.Running && machine.attemptTokens > 0;
-      const gap = Math.max(longestGap, now - machine.signAt);
+      const gap = Math.max(longestGap, now - machine.lastActivityAt);
       longestGap = 0;
       return chain && isBegun ? { chain, gap } : null;
     },
     startRecovery: () => {
       countMetric(shared, 'recoveries');
-      send({ kind: 'retry-granted', failed: retries.getFailed() });
+      send({ kind: 'retry-granted', failed: retries.getFailedEngines() });
     },
     checkSlow: watch.checkSlow,
     condemn: () => send({ kind: 'condemned' }),
-    reachDrainLimit: () => send({ kind: 'drain-limit' }),
+    onDrainLimit: () => send({ kind: 'drain-limit' }),
   };
 
   function send(event: RequestEvent): void {
@@ -115,8 +115,8 @@
       return () => undefined;
     }
     return timers.registerTimeout(dueAt - timers.now(), () => {
-      if (timers.now() - dueAt > LATE_TICK) {
-        undoPatience = awaitPatience(timers.now() + LATE_TICK);
+      if (timers.now() - dueAt > LATE_TICK_TOLERANCE) {
+        undoPatience = awaitPatience(timers.now() + LATE_TICK_TOLERANCE);
       } else {
         send({ kind: 'patience-over' });
       }
@@ -139,10 +139,10 @@
         passToken(effect);
         break;
       case 'watch':
-        watch.lookAfter(effect.delay);
+        watch.scheduleCheck(effect.delay);
         break;
       case 'silent':
-        watch.reportSilence();
+        watch.handleSilence();
         break;
       case 'ask-retry':
         retries.ask(effect);
@@ -188,29 +188,29 @@
 
   function choose(effect: EffectOf<'choose'>): void {
     const now = timers.now();
-    const verdict = judgeRun(shared, fingerprint);
+    const verdict = getPoisonVerdict(shared, fingerprint);
     if (verdict === PoisonVerdict.Condemned) {
-      stopCopies(shared, fingerprint);
+      stopRunsOf(shared, fingerprint);
       return;
     }
     const isNew = machine.attempt === 0;
     if (verdict === PoisonVerdict.Doubted || (isNew && verdict === PoisonVerdict.Ambiguous)) {
       recovery.finish(spec.id);
-      send({ kind: 'no-chain', isFull: true, isTooLate: false, retryAfter: RECHOOSE_LEAST });
+      send({ kind: 'no-chain', isFull: true, isTooLate: false, retryAfter: MIN_RECHOOSE_DELAY });
       return;
     }
     if (isNew && shared.starved.isStarved(spec.model, now)) {
-      send({ kind: 'no-chain', isFull: true, isTooLate: false, retryAfter: RECHOOSE_LEAST });
+      send({ kind: 'no-chain', isFull: true, isTooLate: false, retryAfter: MIN_RECHOOSE_DELAY });
       return;
     }
-    if (!attempts.choose({ ...effect, beginBy: getBeginBy(machine) })) {
+    if (!attempts.choose({ ...effect, beginBy: getFirstTokenDeadline(machine) })) {
       log('no-chain', effect.failed.join(','));
       if (machine.tokenCount > 0) {
         shared.starved.noteStarved(spec.model, now);
       }
       admission.noteRefusal();
       recovery.finish(spec.id);
-      shared.pumpRecoveries();
+      shared.startQueuedRecoveries();
     }
   }
 
@@ -244,7 +244,7 @@
 
   function noteFirstOfAttempt(index: number, wait: Millis): void {
     recovery.finish(spec.id);
-    shared.pumpRecoveries();
+    shared.startQueuedRecoveries();
     attempts.noteFirstToken(wait);
     if (index === 0) {
       admission.noteFirstToken(wait);
@@ -285,7 +285,7 @@
 
   function complete(reason: FinishReason): void {
     meters.noteLength(spec.model, tokens.length, spec.maxTokens);
-    clearRun(shared, fingerprint);
+    clearCrashRecords(shared, fingerprint);
     claim?.settle({ run: RunState.Ran, answer: encodeAnswer({ reason, text: tokens.join('') }) });
     countMetric(shared, 'completed');
     log('complete', reason);
@@ -323,8 +323,8 @@
     attempts.close({ kind: 'cancelled' });
     shared.runs.delete(spec.id);
     recovery.finish(spec.id);
-    admission.leave(spec.id, timers.now());
-    shared.pumpRecoveries();
+    admission.release(spec.id, timers.now());
+    shared.startQueuedRecoveries();
     return ended;
   }
 
@@ -336,12 +336,16 @@
   function enqueue(): void {
     const onAdmitted = (): void => {
       countMetric(shared, 'admitted');
-      feedBudget(shared, spec.model);
+      creditBudget(shared, spec.model);
       log('admit', null);
       send({ kind: 'admitted' });
     };
     const onRefused = (retryAfter: Millis): void => refuse(ProblemKind.Overloaded, retryAfter);
-    admission.enqueue(createAdmissionAsk(spec, meters), { onAdmitted, onRefused }, timers.now());
+    admission.enqueue(
+      createAdmissionRequest(spec, meters),
+      { onAdmitted, onRefused },
+      timers.now(),
+    );
   }
 
   /**
@@ -349,7 +353,7 @@
    * would tell the caller "not run" of a key that had run.
    */
   function askAdmission(): void {
-    const retryAfter = admission.check(createAdmissionAsk(spec, meters), timers.now());
+    const retryAfter = admission.check(createAdmissionRequest(spec, meters), timers.now());
     if (retryAfter === null) {
       enqueue();
     } else {
@@ -362,7 +366,7 @@
       refuse(ProblemKind.Deadline, null);
     } else if (shared.isDraining()) {
       refuse(ProblemKind.Draining, 0);
-    } else if (judgeRun(shared, fingerprint) === PoisonVerdict.Condemned) {
+    } else if (getPoisonVerdict(shared, fingerprint) === PoisonVerdict.Condemned) {
       countMetric(shared, 'poisonRefused');
       refuse(ProblemKind.Poison, null);
     } else if (spec.idempotent || spec.idempotencyKey === null) {
@@ -377,7 +381,7 @@
       };
       claim = claimKey(shared, work, {
         onGranted: askAdmission,
-        onHeld: (answer) => send({ kind: 'answer-held', answer }),
+        onReplayed: (answer) => send({ kind: 'answer-held', answer }),
         onRefused: (problem) => send({ kind: 'refused', problem }),
       });
     }
--- a/packages/requests/src/RequestAdmission.ts
+++ b/packages/requests/src/RequestAdmission.ts
@@ -19,7 +19,7 @@
 import { createFairQueue } from './RequestQueue.js';
 
 /** A request that asks to run. */
-export interface AdmissionAsk {
+export interface AdmissionRequest {
   readonly id: RequestId;
   readonly team: TeamId;
   readonly priority: PriorityName;
@@ -58,10 +58,10 @@
 /** The gate before the engines. */
 export interface Admission {
   /** Wait until a resend makes sense if the request must be refused now, else null. Changes nothing. */
-  check(ask: AdmissionAsk, now: Millis): Millis | null;
-  enqueue(ask: AdmissionAsk, listener: AdmissionListener, now: Millis): void;
+  check(ask: AdmissionRequest, now: Millis): Millis | null;
+  enqueue(ask: AdmissionRequest, listener: AdmissionListener, now: Millis): void;
   /** Gives up waiting, or gives back the place of one that ran. */
-  leave(id: RequestId, now: Millis): void;
+  release(id: RequestId, now: Millis): void;
   /** Refuses what can no longer be answered in time, adapts the limit, and admits what it allows. */
   sweep(now: Millis): void;
   noteGap(gap: Millis): void;
@@ -73,7 +73,7 @@
 }
 
 interface Waiting {
-  readonly ask: AdmissionAsk;
+  readonly ask: AdmissionRequest;
   readonly listener: AdmissionListener;
 }
 
@@ -86,7 +86,7 @@
 export function createAdmission(cfg: AdmissionConfig, start: Millis): Admission {
   const queue: FairQueue = createFairQueue({ total: cfg.queueBound });
   const waiting = new Map<RequestId, Waiting>();
-  const running = new Map<RequestId, AdmissionAsk>();
+  const running = new Map<RequestId, AdmissionRequest>();
   let limit: ConcurrencyLimit = createConcurrencyLimit(cfg.limits, start);
   let kvInUse = 0;
   /** Work finished per millisecond; null before the first window that finished any. */
@@ -129,7 +129,7 @@
   }
 
   /** Even if it ran now it would end too late: running it would take a place for nothing. */
-  function isHopeless(ask: AdmissionAsk, now: Millis): boolean {
+  function isHopeless(ask: AdmissionRequest, now: Millis): boolean {
     return now + ask.duration > ask.deadline;
   }
 
@@ -138,7 +138,7 @@
     return Math.min(MOST_RETRY, Math.max(LEAST_RETRY, wait, untilSweep));
   }
 
-  function estimateWait(ask: AdmissionAsk): Millis {
+  function estimateWait(ask: AdmissionRequest): Millis {
     const { share } = cfg.getTeamLimits(ask.team);
     const isFree = queue.size() === 0 && running.size < Math.floor(limit.limit);
     if (isFree || rate === null || rate === 0) {
@@ -188,7 +188,7 @@
       }
       admit(now);
     },
-    leave(id, now) {
+    release(id, now) {
       const ask = running.get(id);
       if (ask) {
         running.delete(id);
--- a/packages/requests/src/RequestAttempt.ts
+++ b/packages/requests/src/RequestAttempt.ts
@@ -26,7 +26,7 @@
 import type { AttemptFailure } from './RequestPorts.js';
 import { FailurePlace } from './RequestPorts.js';
 import type { MachineStep, RequestMachine } from './RequestState.js';
-import { createProblem, dropFrame, endWith, stay } from './RequestState.js';
+import { createProblem, dropFrame, endWith, keepState } from './RequestState.js';
 import type { AttemptOutcome } from './RequestTypes.js';
 import { ProblemKind } from './RequestTypes.js';
 
@@ -34,7 +34,7 @@
 export type AttemptEvent = Extract<RequestEvent, { attempt: number }>;
 
 /** A tick that comes this late says that we slept ourselves; the streams get another chance. */
-export const LATE_TICK: Millis = 50;
+export const LATE_TICK_TOLERANCE: Millis = 50;
 
 const MAX_DOUBLINGS = 4;
 
@@ -45,7 +45,7 @@
   now: Millis,
 ): MachineStep {
   if (machine.phase !== RequestPhase.Choosing) {
-    return stay(machine);
+    return keepState(machine);
   }
   const attempt = machine.attempt + 1;
   const opened: RequestMachine = {
@@ -56,10 +56,10 @@
     acknowledged: false,
     attemptTokens: 0,
     limits: event.limits,
-    borne: 0,
+    toleratedSilences: 0,
     pace: createPace(event.limits.gap),
     openedAt: now,
-    signAt: now,
+    lastActivityAt: now,
   };
   return {
     machine: opened,
@@ -82,7 +82,7 @@
       if (!machine.chain || !isSameChain(machine.chain, event.acknowledgement)) {
         return failAttempt(machine, brokenRule(FailurePlace.Acknowledgement), [], now);
       }
-      return stay({ ...machine, acknowledged: true, signAt: now });
+      return keepState({ ...machine, acknowledged: true, lastActivityAt: now });
     case 'token':
       return takeToken(machine, event.index, event.token, now);
     case 'end':
@@ -124,7 +124,13 @@
   return {
     machine: advance(machine, isFirst, now),
     effects: [
-      { kind: 'token', index, token, since: isFirst ? machine.openedAt : machine.signAt, isFirst },
+      {
+        kind: 'token',
+        index,
+        token,
+        since: isFirst ? machine.openedAt : machine.lastActivityAt,
+        isFirst,
+      },
       ...recovered,
     ],
   };
@@ -142,7 +148,7 @@
     submittedAt: machine.submittedAt,
     attemptsLeft: machine.attemptsLeft,
     patientUntil: machine.patientUntil,
-    beginBy: machine.beginBy,
+    firstTokenDeadline: machine.firstTokenDeadline,
     attempt: machine.attempt,
     chain: machine.chain,
     acknowledged: machine.acknowledged,
@@ -152,12 +158,12 @@
     fruitless: 0,
     avoid: machine.avoid.length > 0 ? [] : machine.avoid,
     limits: machine.limits,
-    pace: isFirst ? machine.pace : addSample(machine.pace, now - machine.signAt),
+    pace: isFirst ? machine.pace : addSample(machine.pace, now - machine.lastActivityAt),
     openedAt: machine.openedAt,
     firstTokenAt: isFirst ? now : machine.firstTokenAt,
     progressAt: now,
-    signAt: now,
-    borne: 0,
+    lastActivityAt: now,
+    toleratedSilences: 0,
     failedAt: null,
   };
 }
@@ -165,14 +171,17 @@
 /** Takes a tick: waits on, or finds the attempt silent. */
 export function checkSilence(machine: RequestMachine, dueAt: Millis, now: Millis): MachineStep {
   if (machine.phase !== RequestPhase.Running) {
-    return stay(machine);
+    return keepState(machine);
   }
   const limit = getSilenceLimit(machine);
-  if (now - dueAt > LATE_TICK) {
+  if (now - dueAt > LATE_TICK_TOLERANCE) {
     // We were paused: frames that came meanwhile are still unread, and all streams look hung at once.
-    return { machine: { ...machine, signAt: now }, effects: [{ kind: 'watch', delay: limit }] };
+    return {
+      machine: { ...machine, lastActivityAt: now },
+      effects: [{ kind: 'watch', delay: limit }],
+    };
   }
-  const silentFor = now - machine.signAt;
+  const silentFor = now - machine.lastActivityAt;
   if (silentFor < limit) {
     // A fraction of a millisecond can be too little to move the clock on: the tick would come for ever.
     return { machine, effects: [{ kind: 'watch', delay: Math.ceil(limit - silentFor) }] };
@@ -185,18 +194,21 @@
 }
 
 /** Gives a silent attempt as much time again. */
-export function bearSilence(machine: RequestMachine): MachineStep {
+export function tolerateSilence(machine: RequestMachine): MachineStep {
   if (machine.phase !== RequestPhase.Running) {
-    return stay(machine);
+    return keepState(machine);
   }
   const delay = getSilenceLimit(machine);
-  return { machine: { ...machine, borne: machine.borne + 1 }, effects: [{ kind: 'watch', delay }] };
+  return {
+    machine: { ...machine, toleratedSilences: machine.toleratedSilences + 1 },
+    effects: [{ kind: 'watch', delay }],
+  };
 }
 
 /** How long the present attempt may be silent from its last sign of life on. */
 function getSilenceLimit(machine: RequestMachine): Millis {
   // Silence after silence says that all is slow: recovering ever again would make it slower.
-  const doubled = 2 ** Math.min(MAX_DOUBLINGS, machine.fruitless) * (1 + machine.borne);
+  const doubled = 2 ** Math.min(MAX_DOUBLINGS, machine.fruitless) * (1 + machine.toleratedSilences);
   if (!machine.acknowledged) {
     return doubled * machine.limits.acknowledgement;
   }
@@ -282,7 +294,7 @@
     isRefusal: isRefusal(failure),
     isLost: isEngineLost(failure) && !isStageRefusal(failure),
     attemptTokens: machine.attemptTokens,
-    detection: now - machine.signAt,
+    detection: now - machine.lastActivityAt,
   };
 }
 
--- a/packages/requests/src/RequestBudget.ts
+++ b/packages/requests/src/RequestBudget.ts
@@ -40,7 +40,7 @@
 }
 
 /** Notes a first try. */
-export function noteFirstTry(budget: RetryBudget, now: Millis): RetryBudget {
+export function noteFirstAttempt(budget: RetryBudget, now: Millis): RetryBudget {
   return count(budget, now, 1, 0);
 }
 
@@ -60,7 +60,7 @@
 }
 
 /** Gives a repeat back that never reached an engine. */
-export function returnRetry(budget: RetryBudget, now: Millis): RetryBudget {
+export function refundRetry(budget: RetryBudget, now: Millis): RetryBudget {
   return count(budget, now, 0, -1);
 }
 
--- a/packages/requests/src/RequestClaims.ts
+++ b/packages/requests/src/RequestClaims.ts
@@ -16,7 +16,7 @@
   | { readonly kind: 'refuse'; readonly problem: RequestProblem };
 
 /** Wait before a caller, or we for it, ask again for work that runs. */
-export const RUNNING_RETRY: Millis = 500;
+export const RUNNING_RETRY_DELAY: Millis = 500;
 
 /** Maps an outcome to what the caller is told. Each says no more than is proven. */
 export function decideClaim(outcome: ClaimOutcome): ClaimDecision {
@@ -29,7 +29,7 @@
         problem: {
           kind: ProblemKind.AlreadyRunning,
           run: RunState.Unknown,
-          retryAfter: RUNNING_RETRY,
+          retryAfter: RUNNING_RETRY_DELAY,
           instance: outcome.instance,
         },
       };
@@ -58,7 +58,7 @@
     case RunState.Unknown:
       return refuse(ProblemKind.OutcomeUnknown, RunState.Unknown, null);
     default:
-      return refuse(ProblemKind.ClaimUnavailable, RunState.NotRun, RUNNING_RETRY);
+      return refuse(ProblemKind.ClaimUnavailable, RunState.NotRun, RUNNING_RETRY_DELAY);
   }
 }
 
--- a/packages/requests/src/RequestMachine.ts
+++ b/packages/requests/src/RequestMachine.ts
@@ -5,11 +5,11 @@
  */
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import { bearSilence, checkSilence, openAttempt, stepAttempt } from './RequestAttempt.js';
+import { tolerateSilence, checkSilence, openAttempt, stepAttempt } from './RequestAttempt.js';
 import type { RequestEffect, RequestEvent } from './RequestMessages.js';
 import { GiveUpReason, RequestPhase } from './RequestMessages.js';
 import type { MachineStep, RequestMachine } from './RequestState.js';
-import { dropFrame, endWith, failWith, getBeginBy, stay } from './RequestState.js';
+import { dropFrame, endWith, failWith, getFirstTokenDeadline, keepState } from './RequestState.js';
 import { ProblemKind } from './RequestTypes.js';
 
 /** Takes one event. Events of an earlier attempt, or after the end, change nothing but a count. */
@@ -19,7 +19,7 @@
   now: Millis,
 ): MachineStep {
   if (machine.phase === RequestPhase.Ended) {
-    return 'attempt' in event ? dropFrame(machine, 'late-frame') : stay(machine);
+    return 'attempt' in event ? dropFrame(machine, 'late-frame') : keepState(machine);
   }
   if ('attempt' in event) {
     const isCurrent = machine.phase === RequestPhase.Running && event.attempt === machine.attempt;
@@ -46,23 +46,23 @@
     case 'retry-refused':
       return machine.phase === RequestPhase.Pausing
         ? failWith(machine, ProblemKind.EngineFailed, event.retryAfter)
-        : stay(machine);
+        : keepState(machine);
     case 'budget-spent':
       return machine.phase === RequestPhase.Pausing
         ? failWith(machine, ProblemKind.Overloaded, event.retryAfter)
-        : stay(machine);
+        : keepState(machine);
     case 'tick':
       return checkSilence(machine, event.dueAt, now);
     case 'silence-borne':
-      return bearSilence(machine);
+      return tolerateSilence(machine);
     case 'look-again':
       return machine.phase === RequestPhase.Running
         ? { machine, effects: [{ kind: 'watch', delay: event.delay }] }
-        : stay(machine);
+        : keepState(machine);
     case 'stood-still':
       return machine.phase === RequestPhase.Running
         ? failWith(machine, ProblemKind.EngineFailed, null)
-        : stay(machine);
+        : keepState(machine);
     case 'patience-over':
       return endPatience(machine);
     case 'hang-up':
@@ -78,8 +78,8 @@
 
 /** Ends a request that has no answer yet; its caller is about to leave, and can still go elsewhere. */
 function endPatience(machine: RequestMachine): MachineStep {
-  if (getBeginBy(machine) === null) {
-    return stay(machine);
+  if (getFirstTokenDeadline(machine) === null) {
+    return keepState(machine);
   }
   if (machine.phase !== RequestPhase.Running) {
     return failWith(machine, ProblemKind.NoChain, null);
@@ -91,7 +91,7 @@
 
 function admit(machine: RequestMachine, now: Millis): MachineStep {
   if (machine.phase !== RequestPhase.Waiting) {
-    return stay(machine);
+    return keepState(machine);
   }
   return {
     machine: { ...machine, phase: RequestPhase.Choosing, progressAt: now },
@@ -101,7 +101,7 @@
 
 function chooseAgain(machine: RequestMachine, failed: readonly EngineId[]): MachineStep {
   if (machine.phase !== RequestPhase.Pausing) {
-    return stay(machine);
+    return keepState(machine);
   }
   const broken = failed.length > 0 ? machine.chain : null;
   return {
@@ -116,7 +116,7 @@
   now: Millis,
 ): MachineStep {
   if (machine.phase !== RequestPhase.Choosing) {
-    return stay(machine);
+    return keepState(machine);
   }
   if (machine.tokenCount === 0 && (isTooLate || !mayWait(machine, isFull, now))) {
     return failWith(machine, ProblemKind.NoChain, retryAfter);
--- a/packages/requests/src/RequestPoison.ts
+++ b/packages/requests/src/RequestPoison.ts
@@ -152,7 +152,7 @@
 }
 
 /** Requests that were at a crash together with this one and are not cleared: not to run beside it. */
-export function listFellowSuspects(
+export function listCoSuspects(
   state: PoisonState,
   fingerprint: Fingerprint,
   now: Millis,
--- a/packages/requests/src/RequestProgress.ts
+++ b/packages/requests/src/RequestProgress.ts
@@ -62,7 +62,7 @@
   /** The engine of a chain whose best stream is slowest, the later of two that are equal. */
   findSlowest(chain: Chain, now: Millis): SlowEngine | null;
   /** Median over the engines of their best gap lately; null while fewer than three are known. */
-  getUsualGap(now: Millis): Millis | null;
+  getMedianGap(now: Millis): Millis | null;
 }
 
 const WINDOW: Millis = 250;
@@ -163,7 +163,7 @@
       }
       return slowest;
     },
-    getUsualGap(now) {
+    getMedianGap(now) {
       const gaps: Millis[] = [];
       for (const [engine, progress] of engines) {
         if (now - progress.lastAt > FORGET_AFTER) {
--- a/packages/requests/src/RequestRouter.ts
+++ b/packages/requests/src/RequestRouter.ts
@@ -8,7 +8,7 @@
 import { startModelRun } from './ModelRunner.js';
 import type { Admission } from './RequestAdmission.js';
 import { createAdmission } from './RequestAdmission.js';
-import { LATE_TICK } from './RequestAttempt.js';
+import { LATE_TICK_TOLERANCE } from './RequestAttempt.js';
 import type { RetryBudget } from './RequestBudget.js';
 import { createRetryBudget, setBurst } from './RequestBudget.js';
 import type { PoisonDigest } from './RequestPoison.js';
@@ -23,7 +23,7 @@
 import { createProgressTracker } from './RequestProgress.js';
 import { createRecoveryQueue } from './RequestRecovery.js';
 import type { RequestHandle, RequestSink, RequestSpec } from './RequestTypes.js';
-import { createWorkQueue } from './RouterEvents.js';
+import { createWorkQueue } from './RouterWorkQueue.js';
 import { createRouterMeters } from './RouterMeters.js';
 import type { RouterShared } from './RouterShared.js';
 import { createStarvedModels } from './RouterShared.js';
@@ -105,8 +105,8 @@
     },
     begunWaits: new Map(),
     isDraining: () => isDraining,
-    getStillShare,
-    pumpRecoveries,
+    getStalledShare: getStillShare,
+    startQueuedRecoveries: pumpRecoveries,
   };
   const sweeping = createActiveInterval(timers, SWEEP_PERIOD, () => {
     shared.post(sweep);
@@ -126,7 +126,7 @@
     if (now - stillAt >= STILL_PERIOD) {
       const runs = [...shared.runs.values()];
       stillAt = now;
-      stillShare = runs.filter((run) => run.isStill(now)).length / Math.max(1, runs.length);
+      stillShare = runs.filter((run) => run.isStalled(now)).length / Math.max(1, runs.length);
     }
     return stillShare;
   }
@@ -146,7 +146,7 @@
     shared.admission.sweep(now);
     services.forEach((admission) => admission.sweep(now));
     tellPaces(now);
-    const usualGap = shared.progress.getUsualGap(now);
+    const usualGap = shared.progress.getMedianGap(now);
     if (usualGap !== null) {
       [...shared.runs.values()].forEach((run) => run.checkSlow(usualGap));
     }
@@ -169,7 +169,7 @@
       .map((run) => run.takePace(now))
       .filter((pace) => pace !== null);
     // After a pause of our own all streams look late, and no link is to blame.
-    if (now - sweptAt < SWEEP_PERIOD + LATE_TICK) {
+    if (now - sweptAt < SWEEP_PERIOD + LATE_TICK_TOLERANCE) {
       deps.links?.notePaces(paces);
     }
     sweptAt = now;
@@ -204,8 +204,8 @@
     drain(limit) {
       isDraining = true;
       const undoLimit = timers.registerTimeout(limit, () => {
-        [...shared.runs.values()].forEach((run) => run.reachDrainLimit());
-        [...serviceRuns.values()].forEach((run) => run.reachDrainLimit());
+        [...shared.runs.values()].forEach((run) => run.onDrainLimit());
+        [...serviceRuns.values()].forEach((run) => run.onDrainLimit());
       });
       return new Promise((resolve) => {
         drained.push(() => {
--- a/packages/requests/src/RequestState.ts
+++ b/packages/requests/src/RequestState.ts
@@ -21,7 +21,7 @@
   /** Until when it waits for engines that can take it; null if it has no patience of its own. */
   readonly patientUntil: Millis | null;
   /** By when its answer must begin, as its caller leaves soon after; null if the caller stays. */
-  readonly beginBy: Millis | null;
+  readonly firstTokenDeadline: Millis | null;
   /** Number of the running attempt, or of the last one; 0 before the first. */
   readonly attempt: number;
   readonly chain: Chain | null;
@@ -44,9 +44,9 @@
   /** When the caller last got something, or the request was admitted. */
   readonly progressAt: Millis;
   /** When the present attempt last gave a sign of life. */
-  readonly signAt: Millis;
+  readonly lastActivityAt: Millis;
   /** Silences in a row that were borne. */
-  readonly borne: number;
+  readonly toleratedSilences: number;
   /** When the last failure showed; null while nothing is being mended. */
   readonly failedAt: Millis | null;
 }
@@ -77,7 +77,7 @@
     submittedAt: now,
     attemptsLeft: spec.maxAttempts ?? Infinity,
     patientUntil: isPatient ? now + spec.patience : null,
-    beginBy: isPatient && spec.breakAfter !== undefined ? now + spec.breakAfter : null,
+    firstTokenDeadline: isPatient && spec.breakAfter !== undefined ? now + spec.breakAfter : null,
     attempt: 0,
     chain: null,
     acknowledged: false,
@@ -91,14 +91,17 @@
     openedAt: now,
     firstTokenAt: now,
     progressAt: now,
-    signAt: now,
-    borne: 0,
+    lastActivityAt: now,
+    toleratedSilences: 0,
     failedAt: null,
   };
 }
 
 /** By when an answer must begin; null if it has begun, or its caller stays. */
-export function getBeginBy({ tokenCount, beginBy }: RequestMachine): Millis | null {
+export function getFirstTokenDeadline({
+  tokenCount,
+  firstTokenDeadline: beginBy,
+}: RequestMachine): Millis | null {
   return tokenCount === 0 ? beginBy : null;
 }
 
@@ -151,6 +154,6 @@
 }
 
 /** Nothing is to be done. */
-export function stay(machine: RequestMachine): MachineStep {
+export function keepState(machine: RequestMachine): MachineStep {
   return { machine, effects: [] };
 }
--- a/packages/requests/src/RequestTypes.ts
+++ b/packages/requests/src/RequestTypes.ts
@@ -99,7 +99,7 @@
 }
 
 /** What a chain is wanted for. */
-export interface ChainWish {
+export interface ChainRequest {
   readonly spec: RequestSpec;
   /** Tokens that the engines must read before the next one: the prompt and the answer so far. */
   readonly contextTokens: number;
@@ -110,7 +110,7 @@
 }
 
 /** The same for an answer that broke off. */
-export interface RepairWish extends ChainWish {
+export interface RepairRequest extends ChainRequest {
   readonly broken: Chain;
   /** Stages of the broken chain to replace; the others keep their KV cache if they stay. */
   readonly failed: readonly EngineId[];
@@ -145,8 +145,8 @@
   /** `isFull` says that engines hold the model but have no room now, so that waiting helps. */
   | { readonly kind: 'none'; readonly isFull: boolean; readonly retryAfter: Millis };
 
-export type ChooseChain = (wish: ChainWish) => ChainChoice;
-export type ChooseRepair = (wish: RepairWish) => ChainChoice;
+export type ChooseChain = (wish: ChainRequest) => ChainChoice;
+export type ChooseRepair = (wish: RepairRequest) => ChainChoice;
 
 const CHARACTERS_PER_TOKEN = 4;
 
--- a/packages/requests/src/RouterShared.ts
+++ b/packages/requests/src/RouterShared.ts
@@ -2,14 +2,14 @@
 import type { EngineId, Millis, ModelId, RequestId } from '@skylarksail/core/CoreTypes';
 import type { Admission } from './RequestAdmission.js';
 import type { RetryBudget } from './RequestBudget.js';
-import { hasRetry, noteFirstTry, returnRetry, takeRetry } from './RequestBudget.js';
+import { hasRetry, noteFirstAttempt, refundRetry, takeRetry } from './RequestBudget.js';
 import type { GiveUpReasonName } from './RequestMessages.js';
 import { GiveUpReason } from './RequestMessages.js';
 import type { Fingerprint, PoisonState, PoisonVerdictName } from './RequestPoison.js';
 import { judgeRequest } from './RequestPoison.js';
 import type { ProgressTracker } from './RequestProgress.js';
 import type { RecoveryQueue } from './RequestRecovery.js';
-import type { PostWork } from './RouterEvents.js';
+import type { PostWork } from './RouterWorkQueue.js';
 import type { RouterMeters } from './RouterMeters.js';
 import type { QueuedRun } from './RunQueue.js';
 import type { DecisionRecord, RouterDeps, RouterMetricName, StreamPace } from './RouterTypes.js';
@@ -22,7 +22,7 @@
   /** Where it waits to begin; null if it has begun, or waits for a chain. */
   getQueued(): QueuedRun | null;
   /** Whether its answer has begun and stands still now. */
-  isStill(now: Millis): boolean;
+  isStalled(now: Millis): boolean;
   /** How its answer got on since this was last asked; null if it has not begun. */
   takePace(now: Millis): StreamPace | null;
   /** A slot for its recovery is free. */
@@ -30,7 +30,7 @@
   /** Moves it if its stream is slow and moving pays. */
   checkSlow(usualGap: Millis): void;
   condemn(): void;
-  reachDrainLimit(): void;
+  onDrainLimit(): void;
 }
 
 /** Models of which begun answers wait for a chain: new requests of those wait their turn. */
@@ -71,9 +71,9 @@
   readonly begunWaits: Map<RequestId, ModelId>;
   readonly isDraining: () => boolean;
   /** Share of the begun answers that stand still now. */
-  readonly getStillShare: () => number;
+  readonly getStalledShare: () => number;
   /** Starts recoveries while there are slots. */
-  readonly pumpRecoveries: () => void;
+  readonly startQueuedRecoveries: () => void;
 }
 
 /** Counts one, or records a time. */
@@ -116,21 +116,24 @@
 
 /** Gives back a retry that reached no engine. */
 export function returnToBudget(shared: RouterShared, name: string): void {
-  shared.setBudget(name, returnRetry(shared.getBudget(name), shared.deps.timers.now()));
+  shared.setBudget(name, refundRetry(shared.getBudget(name), shared.deps.timers.now()));
 }
 
 /** Lets a first try add its share to the budget. */
-export function feedBudget(shared: RouterShared, name: string): void {
-  shared.setBudget(name, noteFirstTry(shared.getBudget(name), shared.deps.timers.now()));
+export function creditBudget(shared: RouterShared, name: string): void {
+  shared.setBudget(name, noteFirstAttempt(shared.getBudget(name), shared.deps.timers.now()));
 }
 
 /** How a request stands now. */
-export function judgeRun(shared: RouterShared, fingerprint: Fingerprint): PoisonVerdictName {
+export function getPoisonVerdict(
+  shared: RouterShared,
+  fingerprint: Fingerprint,
+): PoisonVerdictName {
   return judgeRequest(shared.getPoison(), fingerprint, shared.deps.timers.now());
 }
 
 /** The other running requests with a fingerprint out of `wanted`. */
-export function listRunsOf(
+export function findRunsByFingerprint(
   shared: RouterShared,
   wanted: ReadonlySet<Fingerprint>,
 ): readonly ModelRun[] {
--- a/packages/requests/src/RouterTypes.ts
+++ b/packages/requests/src/RouterTypes.ts
@@ -126,7 +126,7 @@
 export type ChooseServer = (service: ServiceId, avoid: readonly EngineId[]) => ServerChoice | null;
 
 /** What running streams tell of the links that they share, and what is made of it. */
-export interface LinkWatch {
+export interface LinkMonitor {
   /** Takes in how all running streams got on since the last time; called every 100 ms. */
   notePaces(paces: readonly StreamPace[]): void;
   /** Whether a chain crosses a link that is held to be slow. */
@@ -151,7 +151,7 @@
   readonly openServiceCall: OpenServiceCall;
   readonly claims: ClaimPort;
   /** Without it silence on a slow link is taken for silence of engines. */
-  readonly links?: LinkWatch;
+  readonly links?: LinkMonitor;
   /** This instance's part of the burst at a model or service, as the fleet is now; the setting's if left out. */
   readonly getRetryBurst?: (name: string) => number;
   /** Whether a begun answer that stands still may be broken off now; it always may if left out. */
--- a/packages/requests/src/RunAsk.ts
+++ b/packages/requests/src/RunAdmission.ts
@@ -1,5 +1,5 @@
 /** What a model request asks of admission. */
-import type { AdmissionAsk } from './RequestAdmission.js';
+import type { AdmissionRequest } from './RequestAdmission.js';
 import type { RequestSpec } from './RequestTypes.js';
 import { getPromptTokens } from './RequestTypes.js';
 import type { RouterMeters } from './RouterMeters.js';
@@ -8,7 +8,7 @@
 const PROMPT_COST = 1 / 8;
 
 /** The work, the memory and the time that a request will take. */
-export function createAdmissionAsk(spec: RequestSpec, meters: RouterMeters): AdmissionAsk {
+export function createAdmissionRequest(spec: RequestSpec, meters: RouterMeters): AdmissionRequest {
   const promptTokens = getPromptTokens(spec);
   return {
     id: spec.id,
--- a/packages/requests/src/RunRetry.ts
+++ b/packages/requests/src/RunBackoff.ts
@@ -6,7 +6,7 @@
 import type { RequestEffect } from './RequestMessages.js';
 
 /** Least wait before another look for a chain. */
-export const RECHOOSE_LEAST: Millis = 50;
+export const MIN_RECHOOSE_DELAY: Millis = 50;
 const RECHOOSE_MOST: Millis = 250;
 const BUDGET_WAIT: Millis = 500;
 const RETRY_JITTER = 0.3;
@@ -20,23 +20,23 @@
 const RETURN_JITTER = 0.3;
 
 /** Wait before a retry, or before another look for a chain, which costs the engines nothing. */
-export function computeRetryWait(
+export function computeRetryDelay(
   random: Random,
   { mode, fruitless, retryAfter }: Extract<RequestEffect, { kind: 'ask-retry' }>,
 ): Millis {
   if (mode !== 'rechoose') {
     return computeBackoff(random, fruitless, retryAfter);
   }
-  const wait = Math.min(RECHOOSE_MOST, Math.max(RECHOOSE_LEAST, retryAfter ?? 0));
+  const wait = Math.min(RECHOOSE_MOST, Math.max(MIN_RECHOOSE_DELAY, retryAfter ?? 0));
   return jitter(random, wait, RETRY_JITTER);
 }
 
 /** Wait before the retry budget is asked again. */
-export function computeBudgetWait(random: Random): Millis {
+export function computeBudgetRecheckDelay(random: Random): Millis {
   return jitter(random, BUDGET_WAIT, RETRY_JITTER);
 }
 
 /** When a caller whose request has not run may come back; its next try takes nothing from the budget. */
-export function computeReturnWait(random: Random): Millis {
+export function computeCallerRetryDelay(random: Random): Millis {
   return jitter(random, RETURN_WAIT, RETURN_JITTER);
 }
--- a/packages/requests/src/RunFollow.ts
+++ b/packages/requests/src/RunFailover.ts
@@ -10,7 +10,7 @@
 import { hasBudget } from './RouterShared.js';
 
 /** What keeps another attempt from following. */
-export const FollowBar = {
+export const FailoverBlocker = {
   /** It ran on as many engines as its route allows. */
   Attempts: 'attempts',
   /** The retry budget is used up; others may lend a repeat. */
@@ -19,29 +19,29 @@
   Chain: 'chain',
 } as const;
 
-export type FollowBarName = (typeof FollowBar)[keyof typeof FollowBar];
+export type FailoverBlockerName = (typeof FailoverBlocker)[keyof typeof FailoverBlocker];
 
 /** Longest wait between two looks at an attempt that nothing can follow now. */
-export const LOOK_PERIOD: Millis = 250;
+export const FAILOVER_CHECK_PERIOD: Millis = 250;
 
 /** Whether a chain is whole without some engines of the present one. */
 export type HasChainWithout = (engines: readonly EngineId[]) => boolean;
 
 /** Finds what keeps an attempt without the `failed` engines from following the present one; null if nothing does. */
-export function findFollowBar(
+export function findFailoverBlocker(
   shared: RouterShared,
   { model }: RequestSpec,
   machine: RequestMachine,
   failed: readonly EngineId[],
   hasChainWithout: HasChainWithout,
-): FollowBarName | null {
+): FailoverBlockerName | null {
   if (machine.attemptsLeft <= 1) {
-    return FollowBar.Attempts;
+    return FailoverBlocker.Attempts;
   }
   if (isRepeatPaid(shared, machine) && !hasBudget(shared, model)) {
-    return FollowBar.Budget;
+    return FailoverBlocker.Budget;
   }
-  return hasChainWithout(failed) ? null : FollowBar.Chain;
+  return hasChainWithout(failed) ? null : FailoverBlocker.Chain;
 }
 
 /** Whether the attempt that follows takes from the retry budget. */
--- a/packages/requests/src/RunMove.ts
+++ b/packages/requests/src/RunMove.ts
@@ -5,8 +5,8 @@
 import type { RequestSpec } from './RequestTypes.js';
 import { getPromptTokens } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
-import type { HasChainWithout } from './RunFollow.js';
-import { findFollowBar, LOOK_PERIOD } from './RunFollow.js';
+import type { HasChainWithout } from './RunFailover.js';
+import { findFailoverBlocker, FAILOVER_CHECK_PERIOD } from './RunFailover.js';
 
 /** A stream is slow if its tokens come this many times as slowly as is usual. */
 const SLOW_FACTOR = 2.5;
@@ -63,8 +63,8 @@
     return { slowSince: since, engine: null };
   }
   // A slow answer that is moved where nothing can follow ends there, or stands still.
-  const bar = findFollowBar(shared, spec, machine, [slowest.engine], hasChainWithout);
+  const bar = findFailoverBlocker(shared, spec, machine, [slowest.engine], hasChainWithout);
   return bar === null
     ? { slowSince: since, engine: slowest.engine }
-    : { slowSince: now + LOOK_PERIOD, engine: null };
+    : { slowSince: now + FAILOVER_CHECK_PERIOD, engine: null };
 }
--- a/packages/requests/src/RunRetries.ts
+++ b/packages/requests/src/RunRetries.ts
@@ -12,13 +12,17 @@
 } from './RequestMessages.js';
 import { GiveUpReason, RequestPhase } from './RequestMessages.js';
 import type { RequestMachine } from './RequestState.js';
-import { getBeginBy } from './RequestState.js';
+import { getFirstTokenDeadline } from './RequestState.js';
 import type { RequestSpec } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 import { hasBudget, takeFromBudget } from './RouterShared.js';
 import type { DecisionName } from './RouterTypes.js';
 import { getBreakTime } from './RunBreak.js';
-import { computeBudgetWait, computeRetryWait, computeReturnWait } from './RunRetry.js';
+import {
+  computeBudgetRecheckDelay,
+  computeRetryDelay,
+  computeCallerRetryDelay,
+} from './RunBackoff.js';
 
 type AskRetry = Extract<RequestEffect, { kind: 'ask-retry' }>;
 
@@ -35,9 +39,9 @@
   /** Decides what follows a failed attempt. */
   ask(effect: AskRetry): void;
   /** Asks others for a repeat while the present attempt goes on. */
-  borrow(onLent: () => void): void;
+  borrowRetry(onLent: () => void): void;
   /** Engines that failed in the attempt before. */
-  getFailed(): readonly EngineId[];
+  getFailedEngines(): readonly EngineId[];
   /** The request has ended. */
   stop(): void;
 }
@@ -49,10 +53,11 @@
   let lastFailed: readonly EngineId[] = [];
 
   function ask(effect: AskRetry): void {
-    const delay = effect.mode === 'recover' ? 0 : computeRetryWait(deps.random, effect);
+    const delay = effect.mode === 'recover' ? 0 : computeRetryDelay(deps.random, effect);
     lastFailed = effect.failed;
     const breakTime = getBreakTime(shared, spec, getMachine());
-    const leavesAt = effect.mode === 'retry' ? (getBeginBy(getMachine()) ?? Infinity) : Infinity;
+    const leavesAt =
+      effect.mode === 'retry' ? (getFirstTokenDeadline(getMachine()) ?? Infinity) : Infinity;
     if (timers.now() + delay >= Math.min(spec.deadline, breakTime, leavesAt)) {
       giveUp(breakTime < spec.deadline ? GiveUpReason.Standstill : GiveUpReason.DeadlineNear);
       send({ kind: 'retry-refused', retryAfter: effect.retryAfter });
@@ -75,7 +80,7 @@
     if (mode === 'recover') {
       log('recover', failed.join(','));
       shared.recovery.push({ id: spec.id, waitingSince: getMachine().progressAt });
-      shared.pumpRecoveries();
+      shared.startQueuedRecoveries();
     } else {
       log('retry', mode);
       timers.registerTimeout(delay, () => send({ kind: 'retry-granted', failed }));
@@ -127,12 +132,12 @@
   function waitForBudget(effect: AskRetry): void {
     const { attempt, tokenCount } = getMachine();
     if (tokenCount === 0) {
-      send({ kind: 'budget-spent', retryAfter: computeReturnWait(deps.random) });
+      send({ kind: 'budget-spent', retryAfter: computeCallerRetryDelay(deps.random) });
       return;
     }
     log('wait', 'retry budget');
     shared.begunWaits.set(spec.id, spec.model);
-    timers.registerTimeout(computeBudgetWait(deps.random), () =>
+    timers.registerTimeout(computeBudgetRecheckDelay(deps.random), () =>
       shared.post(() => {
         if (isPausing(attempt)) {
           ask(effect);
@@ -145,5 +150,5 @@
     shared.begunWaits.delete(spec.id);
   }
 
-  return { ask, borrow, getFailed: () => lastFailed, stop };
+  return { ask, borrowRetry: borrow, getFailedEngines: () => lastFailed, stop };
 }
--- a/packages/requests/src/RunSilence.ts
+++ b/packages/requests/src/RunSilence.ts
@@ -7,8 +7,8 @@
 import type { RequestSpec } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 import { getBreakTime } from './RunBreak.js';
-import type { FollowBarName, HasChainWithout } from './RunFollow.js';
-import { findFollowBar, LOOK_PERIOD } from './RunFollow.js';
+import type { FailoverBlockerName, HasChainWithout } from './RunFailover.js';
+import { findFailoverBlocker, FAILOVER_CHECK_PERIOD } from './RunFailover.js';
 
 /** Time without a token after which an answer counts as standing still. */
 const STILL_AFTER: Millis = 80;
@@ -20,7 +20,7 @@
 const MOST_STILL = 0.7;
 
 /** What is told of an attempt that gives nothing. */
-export const SILENCE: AttemptFailure = {
+export const SILENCE_FAILURE: AttemptFailure = {
   place: FailurePlace.Silence,
   engine: null,
   status: null,
@@ -38,7 +38,7 @@
   | {
       readonly kind: 'look-again';
       readonly delay: Millis;
-      readonly bar: FollowBarName;
+      readonly blocker: FailoverBlockerName;
       readonly suspects: readonly EngineId[];
     }
   /** Its caller has got nothing for so long that it is better served elsewhere. */
@@ -55,7 +55,7 @@
   if (suspects === null) {
     return { kind: 'borne' };
   }
-  const bar = findFollowBar(shared, spec, machine, suspects, hasChainWithout);
+  const bar = findFailoverBlocker(shared, spec, machine, suspects, hasChainWithout);
   if (bar === null) {
     return { kind: 'failed', suspects };
   }
@@ -64,13 +64,18 @@
   const timeLeft = endsAt - shared.deps.timers.now();
   return timeLeft <= 0
     ? { kind: 'given-up' }
-    : { kind: 'look-again', delay: Math.min(LOOK_PERIOD, timeLeft), bar, suspects };
+    : {
+        kind: 'look-again',
+        delay: Math.min(FAILOVER_CHECK_PERIOD, timeLeft),
+        blocker: bar,
+        suspects,
+      };
 }
 
 /** Whether an answer has begun and stands still now. */
-export function isStandingStill(machine: RequestMachine, now: Millis): boolean {
+export function isStalled(machine: RequestMachine, now: Millis): boolean {
   const isBegun = machine.phase === RequestPhase.Running && machine.attemptTokens > 0;
-  return isBegun && now - machine.signAt > STILL_AFTER;
+  return isBegun && now - machine.lastActivityAt > STILL_AFTER;
 }
 
 /** Engines to replace, or null if the silence is to be borne for now. */
@@ -82,24 +87,24 @@
   if (!chain) {
     return null;
   }
-  if (shared.deps.links?.isSlow(chain) && machine.borne < SLOW_LINK_SILENCES) {
+  if (shared.deps.links?.isSlow(chain) && machine.toleratedSilences < SLOW_LINK_SILENCES) {
     // A prompt that is read again would cross the slow link once more, and hold up all that is on it.
     return null;
   }
   const all = chain.stages.map((stage) => stage.engine);
   // The later half of the silence: an engine that hung may have served another stream just before.
-  const since = (machine.signAt + shared.deps.timers.now()) / 2;
+  const since = (machine.lastActivityAt + shared.deps.timers.now()) / 2;
   const silent = shared.progress.findSilent(chain, since);
-  const isAlone = shared.getStillShare() <= MOST_STILL;
+  const isAlone = shared.getStalledShare() <= MOST_STILL;
   if (isAlone && silent.length > 0 && silent.length < all.length) {
     return silent;
   }
-  const isWhole = shared.progress.findSilent(chain, machine.signAt).length === all.length;
-  if (isAlone && isWhole && shared.deps.links && machine.borne >= WHOLE_SILENCES) {
+  const isWhole = shared.progress.findSilent(chain, machine.lastActivityAt).length === all.length;
+  if (isAlone && isWhole && shared.deps.links && machine.toleratedSilences >= WHOLE_SILENCES) {
     // Nothing came through any of its engines, while others go on: the way to them is cut. A slow link
     // would be known by now.
     return all;
   }
   // A slow link holds up many streams at once, and prompts read again would hold them up longer.
-  return machine.borne < shared.deps.cfg.silence.mostUnclear ? null : all;
+  return machine.toleratedSilences < shared.deps.cfg.silence.mostUnclear ? null : all;
 }
--- a/packages/requests/src/RunSuspicion.ts
+++ b/packages/requests/src/RunSuspicion.ts
@@ -4,13 +4,13 @@
 import type { Fingerprint } from './RequestPoison.js';
 import {
   createCrashId,
-  listFellowSuspects,
+  listCoSuspects,
   noteCrash,
   noteSurvival,
   PoisonVerdict,
 } from './RequestPoison.js';
 import type { RouterShared } from './RouterShared.js';
-import { judgeRun, listRunsOf } from './RouterShared.js';
+import { getPoisonVerdict, findRunsByFingerprint } from './RouterShared.js';
 
 /** Tokens that a suspect must give after a crash to be cleared of it. */
 const CLEARING_TOKENS = 64;
@@ -27,12 +27,12 @@
 ): void {
   shared.progress.noteToken(chain, gap, shared.deps.timers.now());
   if (attemptTokens === CLEARING_TOKENS) {
-    clearRun(shared, fingerprint);
+    clearCrashRecords(shared, fingerprint);
   }
 }
 
 /** Clears a request of the crashes that it was at. */
-export function clearRun(shared: RouterShared, fingerprint: Fingerprint): void {
+export function clearCrashRecords(shared: RouterShared, fingerprint: Fingerprint): void {
   if (shared.getPoison().crashes.size > 0) {
     shared.setPoison(noteSurvival(shared.getPoison(), fingerprint));
   }
@@ -58,20 +58,20 @@
   const crash = createCrashId(engine, bootId, attemptTokens >= CLEARING_TOKENS);
   shared.setPoison(noteCrash(shared.getPoison(), crash, fingerprint, now));
   // One report can condemn no other request; judging them all would cost runs times runs.
-  if (judgeRun(shared, fingerprint) === PoisonVerdict.Condemned) {
-    stopCopies(shared, fingerprint);
+  if (getPoisonVerdict(shared, fingerprint) === PoisonVerdict.Condemned) {
+    stopRunsOf(shared, fingerprint);
   }
 }
 
 /** Stops what runs of a condemned request. */
-export function stopCopies(shared: RouterShared, fingerprint: Fingerprint): void {
-  listRunsOf(shared, new Set([fingerprint])).forEach((run) => run.condemn());
+export function stopRunsOf(shared: RouterShared, fingerprint: Fingerprint): void {
+  findRunsByFingerprint(shared, new Set([fingerprint])).forEach((run) => run.condemn());
 }
 
 /** Stops what runs of the requests that another instance's news condemns. */
 export function stopCondemned(shared: RouterShared): void {
   for (const run of [...shared.runs.values()]) {
-    if (judgeRun(shared, run.fingerprint) === PoisonVerdict.Condemned) {
+    if (getPoisonVerdict(shared, run.fingerprint) === PoisonVerdict.Condemned) {
       run.condemn();
     }
   }
@@ -83,18 +83,18 @@
  * Sets of engines to try in turn, each smaller than the one before: engines are few, and a bystander must
  * not wait for one of its own.
  */
-export function listSpreads(
+export function listAvoidSets(
   shared: RouterShared,
   fingerprint: Fingerprint,
 ): readonly (readonly EngineId[])[] {
   const now = shared.deps.timers.now();
   const { dead, silent } = shared.progress.listDown(now);
-  if (judgeRun(shared, fingerprint) === PoisonVerdict.Clean) {
+  if (getPoisonVerdict(shared, fingerprint) === PoisonVerdict.Clean) {
     return silent.length > 0 ? [[...dead, ...silent], dead] : [dead];
   }
-  const fellows = listFellowSuspects(shared.getPoison(), fingerprint, now);
+  const fellows = listCoSuspects(shared.getPoison(), fingerprint, now);
   const counts = new Map<EngineId, number>();
-  for (const engine of listRunsOf(shared, fellows).flatMap((run) => run.getEngines())) {
+  for (const engine of findRunsByFingerprint(shared, fellows).flatMap((run) => run.getEngines())) {
     counts.set(engine, (counts.get(engine) ?? 0) + 1);
   }
   const spreads = FELLOW_BOUNDS.map((bound) => [
--- a/packages/requests/src/RunWatch.ts
+++ b/packages/requests/src/RunWatch.ts
@@ -5,15 +5,15 @@
 import type { GiveUpReasonName, RequestEvent } from './RequestMessages.js';
 import { GiveUpReason } from './RequestMessages.js';
 import type { RequestMachine } from './RequestState.js';
-import { getBeginBy } from './RequestState.js';
+import { getFirstTokenDeadline } from './RequestState.js';
 import type { RequestSpec } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 import type { DecisionName } from './RouterTypes.js';
-import type { FollowBarName } from './RunFollow.js';
-import { FollowBar } from './RunFollow.js';
+import type { FailoverBlockerName } from './RunFailover.js';
+import { FailoverBlocker } from './RunFailover.js';
 import { decideMove } from './RunMove.js';
 import type { RunRetries } from './RunRetries.js';
-import { decideSilence, SILENCE } from './RunSilence.js';
+import { decideSilence, SILENCE_FAILURE } from './RunSilence.js';
 
 /** The request as its watch sees it. */
 export interface WatchedRun {
@@ -28,9 +28,9 @@
 
 export interface RunWatch {
   /** Looks at the attempt once, after `delay`, and not at any time set before. */
-  lookAfter(delay: Millis): void;
+  scheduleCheck(delay: Millis): void;
   /** The attempt was silent too long: carries out what follows. */
-  reportSilence(): void;
+  handleSilence(): void;
   /** Moves the answer if it is slow and moving pays. */
   checkSlow(usualGap: Millis): void;
   stop(): void;
@@ -53,7 +53,7 @@
 
   function sendSilence(suspects: readonly EngineId[], isSlow: boolean): void {
     const { attempt } = getMachine();
-    send({ kind: 'failure', attempt, failure: SILENCE, suspects, isSlow });
+    send({ kind: 'failure', attempt, failure: SILENCE_FAILURE, suspects, isSlow });
   }
 
   /** The engines keep the answer, and may be dead all the same: new requests and the health check must not wait. */
@@ -65,7 +65,7 @@
     deps.onSilent?.(suspects);
   }
 
-  function logLeft(bar: FollowBarName): void {
+  function logLeft(bar: FailoverBlockerName): void {
     const { attempt } = getMachine();
     if (attempt !== leftAttempt) {
       leftAttempt = attempt;
@@ -76,13 +76,13 @@
   function hasChainWithout(engines: readonly EngineId[]): boolean {
     const machine = getMachine();
     const { chain: broken, avoid } = machine;
-    const beginBy = getBeginBy(machine);
+    const beginBy = getFirstTokenDeadline(machine);
     return attempts.canChoose({ broken, failed: engines, avoid: [...avoid, ...engines], beginBy });
   }
 
   return {
-    lookAfter,
-    reportSilence() {
+    scheduleCheck: lookAfter,
+    handleSilence() {
       const decision = decideSilence(shared, spec, getMachine(), hasChainWithout);
       switch (decision.kind) {
         case 'failed':
@@ -92,11 +92,11 @@
           send({ kind: 'silence-borne' });
           break;
         case 'look-again':
-          logLeft(decision.bar);
+          logLeft(decision.blocker);
           noteSilent(decision.suspects);
           send({ kind: 'look-again', delay: decision.delay });
-          if (decision.bar === FollowBar.Budget) {
-            retries.borrow(() => send({ kind: 'look-again', delay: 0 }));
+          if (decision.blocker === FailoverBlocker.Budget) {
+            retries.borrowRetry(() => send({ kind: 'look-again', delay: 0 }));
           }
           break;
         case 'given-up':
--- a/packages/requests/src/ServiceRunner.ts
+++ b/packages/requests/src/ServiceRunner.ts
@@ -7,9 +7,9 @@
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import { hash64Hex } from '@skylarksail/core/CoreHash';
 import type { EngineId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
-import type { ClaimHold } from './ClaimRunner.js';
+import type { ClaimHandle } from './ClaimRunner.js';
 import { claimKey } from './ClaimRunner.js';
-import type { Admission, AdmissionAsk } from './RequestAdmission.js';
+import type { Admission, AdmissionRequest } from './RequestAdmission.js';
 import { decodeServiceAnswer, encodeServiceAnswer } from './RequestAnswers.js';
 import {
   classifyFailure,
@@ -24,9 +24,15 @@
 import { FailurePlace } from './RequestPorts.js';
 import type { AttemptOutcome, ProblemKindName, RequestHandle } from './RequestTypes.js';
 import { ProblemKind } from './RequestTypes.js';
-import { SILENCE } from './RunSilence.js';
+import { SILENCE_FAILURE } from './RunSilence.js';
 import type { RouterShared } from './RouterShared.js';
-import { countMetric, feedBudget, hasBudget, logDecision, takeFromBudget } from './RouterShared.js';
+import {
+  countMetric,
+  creditBudget,
+  hasBudget,
+  logDecision,
+  takeFromBudget,
+} from './RouterShared.js';
 import type { DecisionName, ServerChoice } from './RouterTypes.js';
 import type { ServiceSink, ServiceSpec } from './ServiceTypes.js';
 
@@ -37,7 +43,7 @@
 /** A running call. */
 export interface ServiceRun extends RequestHandle {
   /** Ends it now, with the truth. */
-  reachDrainLimit(): void;
+  onDrainLimit(): void;
 }
 
 /** Starts a call; its sink hears how it ends. */
@@ -64,7 +70,7 @@
   let cancelCall: Unregister | null = null;
   let undoTimeout: Unregister = () => undefined;
   let choice: ServerChoice | null = null;
-  let claim: ClaimHold | null = null;
+  let claim: ClaimHandle | null = null;
 
   function log(decision: DecisionName, chain: string | null, reason: string | null): void {
     const { id: request, team } = spec;
@@ -123,7 +129,7 @@
       shared.post(() => {
         if (isOpen && of === attempt && hasBudget(shared, spec.service) && hasOther(server)) {
           cancelCall?.();
-          takeIfCurrent(of, () => takeFailure(SILENCE, server));
+          takeIfCurrent(of, () => takeFailure(SILENCE_FAILURE, server));
         }
       }),
     );
@@ -243,11 +249,11 @@
     undoTimeout();
     cancelCall?.();
     release({ kind: 'cancelled' });
-    admission.leave(spec.id, timers.now());
+    admission.release(spec.id, timers.now());
     onGone();
   }
 
-  function getAsk(): AdmissionAsk {
+  function getAsk(): AdmissionRequest {
     const { id, team, priority, deadline } = spec;
     return { id, team, priority, cost: 1, kvTokens: 0, deadline, duration: 0 };
   }
@@ -258,7 +264,7 @@
       {
         onAdmitted: () => {
           countMetric(shared, 'admitted');
-          feedBudget(shared, spec.service);
+          creditBudget(shared, spec.service);
           shared.post(dispatch);
         },
         onRefused: (retryAfter) => shared.post(() => fail(ProblemKind.Overloaded, retryAfter)),
@@ -292,7 +298,7 @@
         { ...spec, key: spec.idempotencyKey, fingerprint },
         {
           onGranted: askAdmission,
-          onHeld: (answer) => finish(decodeServiceAnswer(answer)),
+          onReplayed: (answer) => finish(decodeServiceAnswer(answer)),
           onRefused: failWith,
         },
       );
@@ -320,7 +326,7 @@
   shared.post(begin);
   return {
     cancel,
-    reachDrainLimit: () => shared.post(() => fail(ProblemKind.Draining, null)),
+    onDrainLimit: () => shared.post(() => fail(ProblemKind.Draining, null)),
   };
 }
 
--- a/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
@@ -52,7 +52,7 @@
     const onAdmitted = (): void => {
       timers.registerTimeout(DURATION, () => {
         done[name] = (done[name] ?? 0) + (timers.now() <= deadline ? 1 : 0);
-        admission.leave(id, timers.now());
+        admission.release(id, timers.now());
       });
     };
     admission.enqueue(ask, { onAdmitted, onRefused: refuse }, sentAt);
@@ -138,11 +138,11 @@
     ask('larger than all', 5000);
     ask('a', 600);
     expect(running).to.deep.equal(['larger than all']);
-    admission.leave('larger than all', 1);
+    admission.release('larger than all', 1);
     ask('b', 600);
     ask('c', 300);
     expect(running).to.deep.equal(['larger than all', 'a']);
-    admission.leave('a', 2);
+    admission.release('a', 2);
     expect(running).to.deep.equal(['larger than all', 'a', 'b', 'c']);
   });
 
--- a/packages/requests/src/__tests__/unit/RequestBudget.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestBudget.test.ts
@@ -4,8 +4,8 @@
 import {
   createRetryBudget,
   hasRetry,
-  noteFirstTry,
-  returnRetry,
+  noteFirstAttempt,
+  refundRetry,
   setBurst,
   takeRetry,
 } from '../../RequestBudget.js';
@@ -33,7 +33,7 @@
             budget = taken;
           } else if (!isRetry) {
             tries.push(now);
-            budget = noteFirstTry(budget, now);
+            budget = noteFirstAttempt(budget, now);
           }
         }
         for (const start of repeats) {
@@ -50,7 +50,7 @@
     let budget = createRetryBudget({ share: 0, burst: 1, window: WINDOW });
     budget = takeRetry(budget, 0) ?? budget;
     expect(hasRetry(budget, 0)).to.equal(false);
-    expect(hasRetry(returnRetry(budget, 0), 0)).to.equal(true);
+    expect(hasRetry(refundRetry(budget, 0), 0)).to.equal(true);
     expect(hasRetry(setBurst(budget, 2), 0)).to.equal(true);
     expect(hasRetry(budget, WINDOW + 1000)).to.equal(true);
   });
--- a/packages/requests/src/__tests__/unit/RequestFakes.ts
+++ b/packages/requests/src/__tests__/unit/RequestFakes.ts
@@ -21,7 +21,7 @@
 import { createRequestRouter } from '../../RequestRouter.js';
 import type {
   ChainChoice,
-  ChainWish,
+  ChainRequest,
   RequestHandle,
   RequestProblem,
   RequestSpec,
@@ -33,7 +33,7 @@
 const LAYERS = 12;
 
 /** What the sink of a request heard. */
-export interface Heard {
+export interface ReceivedAnswer {
   readonly tokens: string[];
   readonly ends: string[];
   readonly problems: RequestProblem[];
@@ -68,7 +68,7 @@
   readonly claimLog: string[];
   readonly decisions: DecisionRecord[];
   readonly metrics: RouterMetric[];
-  submit(id: string, change?: Partial<RequestSpec>): Heard;
+  submit(id: string, change?: Partial<RequestSpec>): ReceivedAnswer;
   /** The newest call. */
   last(): OpenedCall;
   count(name: RouterMetric['name']): number;
@@ -98,7 +98,11 @@
     release: (token) => claimLog.push(`release ${token}`),
   };
 
-  function choose(wish: ChainWish, kept: Chain | null, failed: readonly EngineId[]): ChainChoice {
+  function choose(
+    wish: ChainRequest,
+    kept: Chain | null,
+    failed: readonly EngineId[],
+  ): ChainChoice {
     const stages: (Stage | null)[] = engines.map((group, i) => {
       const before = kept?.stages[i]?.engine;
       const isKept = before !== undefined && !failed.includes(before);
@@ -209,7 +213,7 @@
 }
 
 /** Gives tokens `from` to `to`, one every `gap`, the words of the true answer. */
-export function giveTokens(
+export function sendTokens(
   world: FakeWorld,
   opened: OpenedCall,
   from: number,
--- a/packages/requests/src/__tests__/unit/RequestFull.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestFull.test.ts
@@ -4,7 +4,7 @@
 import type { RouterDeps } from '../../RouterTypes.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
 import type { FakeWorld, OpenedCall } from './RequestFakes.js';
-import { acknowledge, createFailure, createFakeWorld, giveTokens } from './RequestFakes.js';
+import { acknowledge, createFailure, createFakeWorld, sendTokens } from './RequestFakes.js';
 
 const PATIENCE = 1700;
 /** Engines `a1` and `a2` hold the first half of the layers, `b1` the second. */
@@ -50,7 +50,7 @@
     const heard = world.submit('r', { patience: PATIENCE });
     const running = world.last();
     acknowledge(running);
-    giveTokens(world, running, 0, 3);
+    sendTokens(world, running, 0, 3);
     refuse(running, 'b1');
     world.timers.advanceTo(world.timers.now() + 1000);
     expect(heard.problems).to.deep.equal([]);
@@ -89,7 +89,7 @@
     const other = world.submit('new', { patience: PATIENCE });
     const unbegun = world.last();
     acknowledge(running);
-    giveTokens(world, running, 0, 3);
+    sendTokens(world, running, 0, 3);
     refuse(running, 'b1');
     burst = 1;
     refuse(unbegun, 'b1');
@@ -110,7 +110,7 @@
       const heard = world.submit('r', { patience: PATIENCE, breakAfter: PATIENCE });
       const running = world.last();
       acknowledge(running);
-      giveTokens(world, running, 0, 2);
+      sendTokens(world, running, 0, 2);
       refuse(running, 'b1');
       world.timers.advanceTo(world.timers.now() + 3 * PATIENCE);
       expect(heard.problems).to.have.length(mayBreakOff ? 1 : 0);
@@ -123,11 +123,11 @@
     world.submit('running');
     const running = world.last();
     acknowledge(running);
-    giveTokens(world, running, 0, 3);
+    sendTokens(world, running, 0, 3);
     world.submit('refused', { prompt: 'refused', patience: PATIENCE });
     const refused = world.last();
     refuse(refused, 'a1');
-    giveTokens(world, running, 3, 6);
+    sendTokens(world, running, 3, 6);
     world.submit('next', { prompt: 'next', patience: PATIENCE });
     expect(world.last().call.chain.stages[0]?.engine).to.equal('a2');
   });
--- a/packages/requests/src/__tests__/unit/RequestPoison.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestPoison.test.ts
@@ -18,7 +18,7 @@
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listEngines,
 } from './RequestFakes.js';
 
@@ -123,12 +123,12 @@
       const opened = world.last();
       expect(listEngines(opened)[0]).to.equal(engine);
       acknowledge(opened);
-      giveTokens(world, opened, heard.tokens.length, heard.tokens.length + 3);
+      sendTokens(world, opened, heard.tokens.length, heard.tokens.length + 3);
       opened.listener.onFailure(createFailure({ place: FailurePlace.Stream, engine }));
     }
     const last = world.last();
     acknowledge(last);
-    giveTokens(world, last, 6, 8);
+    sendTokens(world, last, 6, 8);
     last.listener.onEnd('stop', 8);
     expect([heard.ends, heard.problems]).to.deep.equal([['stop'], []]);
   });
@@ -151,7 +151,7 @@
       createFailure({ place: FailurePlace.Stream, engine: listEngines(again)[0] ?? null }),
     );
     acknowledge(besideAgain);
-    giveTokens(world, besideAgain, 0, 30);
+    sendTokens(world, besideAgain, 0, 30);
     besideAgain.listener.onEnd('stop', 30);
     expect(heard.problems.map(({ kind }) => kind)).to.deep.equal(['poison']);
     expect(world.calls).to.have.length(4);
--- a/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
@@ -5,7 +5,7 @@
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listEngines,
   listWords,
 } from './RequestFakes.js';
@@ -17,7 +17,7 @@
     const heard = world.submit('r');
     const first = world.last();
     acknowledge(first);
-    giveTokens(world, first, 0, 5);
+    sendTokens(world, first, 0, 5);
     first.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'b1' }));
     const second = world.last();
     expect(listEngines(second)).to.deep.equal(['a1', 'b2']);
@@ -25,7 +25,7 @@
     first.listener.onToken(5, 'stale');
     acknowledge(second);
     second.listener.onToken(4, 'repeated');
-    giveTokens(world, second, 5, 8);
+    sendTokens(world, second, 5, 8);
     second.listener.onEnd('stop', 8);
     expect(heard.tokens).to.deep.equal(listWords(8));
     expect([heard.ends, heard.problems]).to.deep.equal([['stop'], []]);
@@ -45,17 +45,17 @@
     const moved = world.last();
     acknowledge(moved);
     expect(listEngines(moved)).to.deep.equal(['a1', 'b2']);
-    giveTokens(world, call, 0, 10);
+    sendTokens(world, call, 0, 10);
     const silentFrom = world.timers.now();
     for (let i = 0; world.last() === moved && i < 100; i++) {
-      giveTokens(world, moved, i, i + 1);
+      sendTokens(world, moved, i, i + 1);
     }
     const repaired = world.last();
     expect(repaired.openedAt - silentFrom).to.be.within(100, 200);
     expect(listEngines(repaired)).to.deep.equal(['a1', 'b2']);
     expect(call.isCancelled).to.equal(true);
     acknowledge(repaired);
-    giveTokens(world, repaired, 10, 12);
+    sendTokens(world, repaired, 10, 12);
     repaired.listener.onEnd('stop', 12);
     expect(hung.tokens).to.deep.equal(listWords(12));
   });
@@ -73,10 +73,10 @@
     const other = world.last();
     acknowledge(other);
     expect(listEngines(other)).to.deep.equal(['a2', 'b2']);
-    giveTokens(world, call, 0, 10);
+    sendTokens(world, call, 0, 10);
     const silentFrom = world.timers.now();
     for (let i = 0; world.last() === other && i < 100; i++) {
-      giveTokens(world, other, i, i + 1);
+      sendTokens(world, other, i, i + 1);
     }
     expect(world.last().openedAt - silentFrom).to.be.within(200, 500);
     expect(listEngines(world.last())).to.deep.equal(['a2', 'b2']);
@@ -89,7 +89,7 @@
     world.submit('r');
     const call = world.last();
     acknowledge(call);
-    giveTokens(world, call, 0, 10);
+    sendTokens(world, call, 0, 10);
     world.timers.advanceTo(world.timers.now() + 1000);
     expect(world.last()).to.equal(call);
     world.timers.advanceTo(world.timers.now() + 10_000);
@@ -130,7 +130,7 @@
     const world = createFakeWorld();
     const heard = world.submit('r');
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 3);
+    sendTokens(world, world.last(), 0, 3);
     world.last().listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'b1' }));
     acknowledge(world.last());
     world
@@ -189,7 +189,7 @@
     const world = createFakeWorld();
     const heard = world.submit('r');
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 2);
+    sendTokens(world, world.last(), 0, 2);
     world.last().listener.onEnd('stop', 3);
     world.timers.advanceTo(world.timers.now() + 100);
     acknowledge(world.last());
@@ -197,7 +197,7 @@
     world.timers.advanceTo(world.timers.now() + 100);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(2), []]);
     acknowledge(world.last());
-    giveTokens(world, world.last(), 2, 4);
+    sendTokens(world, world.last(), 2, 4);
     world.last().listener.onEnd('stop', 4);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(4), ['stop']]);
   });
@@ -235,7 +235,7 @@
     acknowledge(moved);
     let slowTokens = 0;
     for (let i = 0; i < 160 && !slow.isCancelled; i++) {
-      giveTokens(world, moved, i, i + 1, 10);
+      sendTokens(world, moved, i, i + 1, 10);
       if (i < 20 || i % 10 === 0) {
         slow.listener.onToken(slowTokens, `w${slowTokens}`);
         slowTokens += 1;
--- a/packages/requests/src/__tests__/unit/RequestRouter.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRouter.test.ts
@@ -11,7 +11,7 @@
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listWords,
 } from './RequestFakes.js';
 
@@ -57,7 +57,7 @@
     expect(world.calls).to.have.length(0);
     await answerClaim(world, { kind: 'granted', token: 'c' });
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 2);
+    sendTokens(world, world.last(), 0, 2);
     world.last().listener.onEnd('stop', 2);
     expect(heard.ends).to.deep.equal(['stop']);
     expect(world.claimLog).to.deep.equal(['settle c ran {"reason":"stop","text":"w0w1"}']);
@@ -90,7 +90,7 @@
     const world = createFakeWorld();
     world.submit('r0');
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 4);
+    sendTokens(world, world.last(), 0, 4);
     world.last().listener.onEnd('stop', 4);
     const late = { ...KEYED, deadline: world.timers.now() + 1 };
     const resent = world.submit('r1', late);
@@ -123,12 +123,12 @@
     const heard = world.submit('r', KEYED);
     await answerClaim(world, { kind: 'granted', token: 'c' });
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 1);
+    sendTokens(world, world.last(), 0, 1);
     heard.handle.cancel();
     const resent = world.submit('r2', KEYED);
     await answerClaim(world, { kind: 'running', instance: 'i1' });
     expect(world.last().isCancelled).to.equal(false);
-    giveTokens(world, world.last(), 1, 2);
+    sendTokens(world, world.last(), 1, 2);
     world.last().listener.onEnd('stop', 2);
     expect(world.claimLog).to.deep.equal(['settle c ran {"reason":"stop","text":"w0w1"}']);
     world.timers.advanceTo(world.timers.now() + 600);
@@ -180,7 +180,7 @@
     world.submit('r');
     const drained = world.router.drain(5000);
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 3);
+    sendTokens(world, world.last(), 0, 3);
     world.last().listener.onEnd('stop', 3);
     world.timers.advanceTo(world.timers.now() + 500);
     await drained;
@@ -202,7 +202,7 @@
     expect(refused.problems.map(({ kind, run }) => [kind, run])).to.deep.equal([
       ['draining', 'not-run'],
     ]);
-    giveTokens(world, finishingCall, 0, 3);
+    sendTokens(world, finishingCall, 0, 3);
     finishingCall.listener.onEnd('stop', 3);
     expect(finishing.tokens).to.deep.equal(listWords(3));
     await settle();
--- a/packages/requests/src/__tests__/unit/RunEnds.test.ts
+++ b/packages/requests/src/__tests__/unit/RunEnds.test.ts
@@ -3,12 +3,12 @@
 import { FailurePlace } from '../../RequestPorts.js';
 import type { RouterDeps } from '../../RouterTypes.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer } from './RequestFakes.js';
 import {
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listEngines,
   listWords,
 } from './RequestFakes.js';
@@ -40,7 +40,7 @@
   return createFakeWorld({ cfg, ...change }, engines);
 }
 
-function submit(world: FakeWorld, id: string): Heard {
+function submit(world: FakeWorld, id: string): ReceivedAnswer {
   return world.submit(id, {
     maxAttempts: MOST_ATTEMPTS,
     patience: CALLER_PATIENCE,
@@ -71,10 +71,10 @@
 }
 
 /** Lets the newest call give the rest of an answer. */
-function finish(world: FakeWorld, heard: Heard, length: number): void {
+function finish(world: FakeWorld, heard: ReceivedAnswer, length: number): void {
   const last = world.last();
   acknowledge(last);
-  giveTokens(world, last, heard.tokens.length, length);
+  sendTokens(world, last, heard.tokens.length, length);
   last.listener.onEnd('stop', length);
 }
 
@@ -104,20 +104,20 @@
     expect([first?.isCancelled, listEngines(world.last()).length]).to.deep.equal([true, 6]);
     const second = world.last();
     acknowledge(second);
-    giveTokens(world, second, 0, 8);
+    sendTokens(world, second, 0, 8);
     // Others through all engines of that chain but one go on, so that one alone is to blame.
     submit(world, 'other');
     const beside = world.last();
     beside.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'c2' }));
     const other = world.last();
     acknowledge(other);
-    giveTokens(world, other, 0, 40);
+    sendTokens(world, other, 0, 40);
     expect([heard.problems, second.isCancelled, world.count('failed')]).to.deep.equal([
       [],
       false,
       0,
     ]);
-    giveTokens(world, second, 8, 20);
+    sendTokens(world, second, 8, 20);
     second.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
     expect(listLines(world, 'r')).to.deep.equal([]);
@@ -129,14 +129,14 @@
     const heard = submit(world, 'r');
     const only = world.last();
     acknowledge(only);
-    giveTokens(world, only, 0, 3);
+    sendTokens(world, only, 0, 3);
     advance(world, SETTLE_TIME + 900);
     expect([heard.problems, only.isCancelled, listLines(world, 'r')]).to.deep.equal([
       [],
       false,
       [],
     ]);
-    giveTokens(world, only, 3, 20);
+    sendTokens(world, only, 3, 20);
     only.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
   });
@@ -173,7 +173,7 @@
         awaitCalls(world, ends);
         const opened = world.last();
         acknowledge(opened);
-        giveTokens(world, opened, heard.tokens.length, heard.tokens.length + begun);
+        sendTokens(world, opened, heard.tokens.length, heard.tokens.length + begun);
         // News of an engine that leaves come before its end, if the store is heard.
         leaving.add(listEngines(opened)[0] ?? '');
         endEngine(world);
@@ -199,7 +199,7 @@
         for (const [i, act] of (isSilentFirst ? acts : [...acts].reverse()).entries()) {
           awaitCalls(world, i + 1);
           acknowledge(world.last());
-          giveTokens(world, world.last(), heard.tokens.length, heard.tokens.length + begun);
+          sendTokens(world, world.last(), heard.tokens.length, heard.tokens.length + begun);
           act();
         }
         awaitCalls(world, 3);
@@ -220,7 +220,7 @@
         for (let ends = 0; ends < 2; ends += 1) {
           advance(world, gap);
           acknowledge(world.last());
-          giveTokens(world, world.last(), heard.tokens.length, heard.tokens.length + begun);
+          sendTokens(world, world.last(), heard.tokens.length, heard.tokens.length + begun);
           endEngine(world);
         }
         const endedAt = world.timers.now();
--- a/packages/requests/src/__tests__/unit/RunMove.test.ts
+++ b/packages/requests/src/__tests__/unit/RunMove.test.ts
@@ -3,19 +3,19 @@
 import type { RequestSpec } from '../../RequestTypes.js';
 import type { RouterDeps } from '../../RouterTypes.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard, OpenedCall } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer, OpenedCall } from './RequestFakes.js';
 import {
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listEngines,
 } from './RequestFakes.js';
 import { FailurePlace } from '../../RequestPorts.js';
 
 interface SlowPlay {
   readonly world: FakeWorld;
-  readonly heard: Heard;
+  readonly heard: ReceivedAnswer;
   readonly slow: OpenedCall;
 }
 
@@ -39,7 +39,7 @@
   onBothOpen();
   let slowTokens = 0;
   for (let i = 0; i < 160 && !slow.isCancelled; i++) {
-    giveTokens(world, well, i, i + 1, 10);
+    sendTokens(world, well, i, i + 1, 10);
     if (i < 20 || i % 10 === 0) {
       slow.listener.onToken(slowTokens, `w${slowTokens}`);
       slowTokens += 1;
--- a/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
@@ -4,7 +4,7 @@
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { FailurePlace } from '../../RequestPorts.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard, OpenedCall } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer, OpenedCall } from './RequestFakes.js';
 import { acknowledge, createFailure, createFakeWorld, listEngines } from './RequestFakes.js';
 
 const SEEDS = 60;
@@ -57,7 +57,7 @@
 }
 
 interface Caller {
-  readonly heard: Heard;
+  readonly heard: ReceivedAnswer;
   readonly leavesAt: Millis;
 }
 
--- a/packages/requests/src/__tests__/unit/RunQueue.test.ts
+++ b/packages/requests/src/__tests__/unit/RunQueue.test.ts
@@ -2,8 +2,8 @@
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RequestSpec } from '../../RequestTypes.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard } from './RequestFakes.js';
-import { acknowledge, createFakeWorld, giveTokens, listEngines } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer } from './RequestFakes.js';
+import { acknowledge, createFakeWorld, sendTokens, listEngines } from './RequestFakes.js';
 
 const PATIENCE: Millis = 1700;
 
@@ -14,7 +14,7 @@
   return createFakeWorld({ cfg: { ...DEFAULT_ROUTER_CONFIG, silence } }, engines);
 }
 
-function submit(world: FakeWorld, id: string, change: Partial<RequestSpec> = {}): Heard {
+function submit(world: FakeWorld, id: string, change: Partial<RequestSpec> = {}): ReceivedAnswer {
   return world.submit(id, { patience: PATIENCE, breakAfter: PATIENCE, ...change });
 }
 
@@ -57,7 +57,7 @@
     submit(world, 'older');
     world.timers.advanceTo(PATIENCE - 10);
     acknowledge(world.last());
-    giveTokens(world, world.last(), 0, 1);
+    sendTokens(world, world.last(), 0, 1);
     expect(submit(world, 'new').problems).to.deep.equal([]);
   });
 });
--- a/packages/requests/src/__tests__/unit/RunSilence.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilence.test.ts
@@ -3,12 +3,12 @@
 import { FailurePlace } from '../../RequestPorts.js';
 import type { RouterDeps } from '../../RouterTypes.js';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard, OpenedCall } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer, OpenedCall } from './RequestFakes.js';
 import {
   acknowledge,
   createFailure,
   createFakeWorld,
-  giveTokens,
+  sendTokens,
   listEngines,
   listWords,
 } from './RequestFakes.js';
@@ -46,14 +46,14 @@
 }
 
 /** An answer whose first attempt gave nothing, and whose second and last one gave some events. */
-function beginOnLastAttempt(world: FakeWorld, events: number): [Heard, OpenedCall] {
+function beginOnLastAttempt(world: FakeWorld, events: number): [ReceivedAnswer, OpenedCall] {
   const heard = world.submit('r', { maxAttempts: MOST_ATTEMPTS, breakAfter: BREAK_AFTER });
   const first = world.last();
   advanceUntil(world, () => world.last() !== first);
   const second = world.last();
   expect([first.isCancelled, second.call.attempt]).to.deep.equal([true, MOST_ATTEMPTS]);
   acknowledge(second);
-  giveTokens(world, second, 0, events);
+  sendTokens(world, second, 0, events);
   return [heard, second];
 }
 
@@ -62,11 +62,11 @@
   world: FakeWorld,
   events: number,
   breakAfter: Millis = BREAK_AFTER,
-): [Heard, OpenedCall] {
+): [ReceivedAnswer, OpenedCall] {
   const heard = world.submit('r', { breakAfter });
   const only = world.last();
   acknowledge(only);
-  giveTokens(world, only, 0, events);
+  sendTokens(world, only, 0, events);
   return [heard, only];
 }
 
@@ -77,7 +77,7 @@
     const [heard, last] = beginOnLastAttempt(world, 7);
     world.timers.advanceTo(world.timers.now() + LONG_SILENCE);
     expect([heard.problems, last.isCancelled]).to.deep.equal([[], false]);
-    giveTokens(world, last, 7, 20);
+    sendTokens(world, last, 7, 20);
     last.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
     expect([world.calls.length, listGiveUps(world)]).to.deep.equal([MOST_ATTEMPTS, []]);
@@ -102,7 +102,7 @@
     const [heard, only] = begin(world, 7);
     world.timers.advanceTo(world.timers.now() + BREAK_AFTER - 100);
     expect([heard.problems, only.isCancelled]).to.deep.equal([[], false]);
-    giveTokens(world, only, 7, 20);
+    sendTokens(world, only, 7, 20);
     only.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
     expect(world.calls).to.have.length(1);
@@ -134,7 +134,7 @@
     const world = createSilentWorld({}, engines);
     const [heard, only] = begin(world, 7);
     world.timers.advanceTo(world.timers.now() + 1000);
-    giveTokens(world, only, 7, 10);
+    sendTokens(world, only, 7, 10);
     const silentFrom = world.timers.now();
     world.timers.advanceTo(silentFrom + 1000);
     expect([heard.problems, only.isCancelled, world.calls.length]).to.deep.equal([[], false, 1]);
@@ -165,7 +165,7 @@
     before.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'b1' }));
     const other = world.last();
     acknowledge(other);
-    giveTokens(world, other, 0, 100);
+    sendTokens(world, other, 0, 100);
     expect([listEngines(other), silent.isCancelled]).to.deep.equal([['a1', 'b2'], false]);
     world.submit('new', { prompt: 'new' });
     expect(listEngines(world.last())).to.deep.equal(['a1', 'b2']);
@@ -183,7 +183,7 @@
       world.timers.advanceTo(BREAK_AFTER - 100);
       expect([heard.problems, only.isCancelled]).to.deep.equal([[], false]);
       acknowledge(only);
-      giveTokens(world, only, 0, 3);
+      sendTokens(world, only, 0, 3);
       only.listener.onEnd('stop', 3);
       expect([heard.ends, world.calls.length]).to.deep.equal([['stop'], 1]);
     }
--- a/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
@@ -3,7 +3,7 @@
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { DEFAULT_ROUTER_CONFIG } from '../../RouterTypes.js';
-import type { FakeWorld, Heard, OpenedCall } from './RequestFakes.js';
+import type { FakeWorld, ReceivedAnswer, OpenedCall } from './RequestFakes.js';
 import { acknowledge, createFakeWorld, listWords } from './RequestFakes.js';
 
 const SEEDS = 60;
@@ -42,7 +42,7 @@
 }
 
 /** Plays requests at engines that pause and never fail, while planned work goes on. */
-function play(seed: number): { world: FakeWorld; heard: Heard[] } {
+function play(seed: number): { world: FakeWorld; heard: ReceivedAnswer[] } {
   const random = createRandom(seed);
   const cfg = {
     ...DEFAULT_ROUTER_CONFIG,
@@ -53,7 +53,7 @@
   const engines = random.nextFloat() < 0.5 ? [['a1'], ['b1']] : undefined;
   const deps = { cfg, getRetryBurst: () => burst, mayBreakOff: () => false };
   const world = createFakeWorld(deps, engines);
-  const heard: Heard[] = [];
+  const heard: ReceivedAnswer[] = [];
   let served = 0;
   for (let at = 0; at < END; at += STEP) {
     if (heard.length < REQUESTS && random.nextFloat() < 0.05) {
--- a/packages/routing/src/RoutingTable.ts
+++ b/packages/routing/src/RoutingBucketMap.ts
@@ -2,7 +2,7 @@
  * An immutable map that is cheap to change: entries lie in buckets, and a change copies one bucket only.
  * Copying a plain map of some thousand entries for each call would cost more than the choice itself.
  */
-export interface RoutingTable<V> {
+export interface BucketMap<V> {
   readonly buckets: readonly ReadonlyMap<string, V>[];
 }
 
@@ -10,11 +10,11 @@
 const SPREAD = 31;
 const SPREAD_LIMIT = 1000003;
 
-export function createTable<V>(): RoutingTable<V> {
+export function createBucketMap<V>(): BucketMap<V> {
   return { buckets: Array.from({ length: BUCKET_COUNT }, () => new Map<string, V>()) };
 }
 
-export function getEntry<V>(table: RoutingTable<V>, key: string): V | undefined {
+export function getEntry<V>(table: BucketMap<V>, key: string): V | undefined {
   return table.buckets[getBucket(key)]?.get(key);
 }
 
@@ -23,11 +23,11 @@
  * loses the one that was set the longest time ago.
  */
 export function withEntry<V>(
-  table: RoutingTable<V>,
+  table: BucketMap<V>,
   key: string,
   value: V | undefined,
   bucketLimit = Infinity,
-): RoutingTable<V> {
+): BucketMap<V> {
   const index = getBucket(key);
   const bucket = new Map(table.buckets[index]);
   bucket.delete(key);
@@ -50,6 +50,6 @@
 }
 
 /** Number of entries. */
-export function countEntries(table: RoutingTable<unknown>): number {
+export function countEntries(table: BucketMap<unknown>): number {
   return table.buckets.reduce((sum, bucket) => sum + bucket.size, 0);
 }
--- a/packages/routing/src/RoutingCalls.ts
+++ b/packages/routing/src/RoutingCalls.ts
@@ -13,9 +13,9 @@
   recordSuccess,
 } from './RoutingHealth.js';
 import { countHopPrompts } from './RoutingHops.js';
-import { addSightings } from './RoutingPrefixes.js';
+import { addPrefixObservations } from './RoutingPrefixes.js';
 import { getPoolKey } from './RoutingPools.js';
-import { getEntry, withEntry } from './RoutingTable.js';
+import { getEntry, withEntry } from './RoutingBucketMap.js';
 import type { CallOutcome, OwnWork, RoutedCall, RoutingState } from './RoutingTypes.js';
 
 export const NO_WORK: OwnWork = { calls: 0, kvTokens: 0, prefillTokens: 0 };
@@ -79,7 +79,7 @@
     seenAt: now,
   }));
   const prefixes = (call.prefixKeys ?? []).reduce(
-    (table, { key }) => addSightings(table, key, sightings),
+    (table, { key }) => addPrefixObservations(table, key, sightings),
     state.prefixes,
   );
   return { ...next, prefixes };
@@ -142,16 +142,19 @@
   const domain = getDoubtedDomain(state, chain);
   return domain === null
     ? state
-    : { ...state, doubted: new Map(state.doubted).set(domain, now + state.tuning.doubtTime) };
+    : { ...state, suspected: new Map(state.suspected).set(domain, now + state.tuning.doubtTime) };
 }
 
 /** A token from a domain clears it. */
 function clearDoubt(state: RoutingState, chain: Chain): RoutingState {
-  const domain = state.doubted.size > 0 ? getDoubtedDomain(state, chain) : null;
-  if (domain === null || !state.doubted.has(domain)) {
+  const domain = state.suspected.size > 0 ? getDoubtedDomain(state, chain) : null;
+  if (domain === null || !state.suspected.has(domain)) {
     return state;
   }
-  return { ...state, doubted: new Map([...state.doubted].filter(([other]) => other !== domain)) };
+  return {
+    ...state,
+    suspected: new Map([...state.suspected].filter(([other]) => other !== domain)),
+  };
 }
 
 /** Domain of a chain's first stage, which is where our own connection goes; null if it is never doubted. */
@@ -237,7 +240,7 @@
 function countCall(state: RoutingState, { chain }: RoutedCall, change: number): RoutingState {
   const { model, version } = chain.variant;
   const poolCalls = new Map(state.poolCalls);
-  const crossing = new Map(state.crossing);
+  const crossing = new Map(state.crossDomainCalls);
   for (const domain of new Set(
     chain.stages.map(({ engine }) => state.engines.get(engine)?.domain),
   )) {
@@ -248,7 +251,7 @@
       }
     }
   }
-  return { ...state, poolCalls, crossing };
+  return { ...state, poolCalls, crossDomainCalls: crossing };
 }
 
 function addCount(counts: Map<string, number>, key: string, change: number): void {
