--- a/packages/routing/src/RoutingChoice.ts
+++ b/packages/routing/src/RoutingChoice.ts
@@ -7,20 +7,20 @@
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import { getHealth } from './RoutingCalls.js';
 import { coverLayers } from './RoutingCover.js';
-import { getHealedShare, getLentCalls, orderForeignDomains } from './RoutingDomains.js';
+import { getRampUpShare, getCrossDomainCallLimit, orderForeignDomains } from './RoutingDomains.js';
 import { isEjected } from './RoutingHealth.js';
 import { isHopOpen } from './RoutingHops.js';
 import type { LinkCost } from './RoutingLinks.js';
-import { FREE_LINK, getLinkBetween } from './RoutingLinks.js';
+import { UNLIMITED_LINK, getLinkBetween } from './RoutingLinks.js';
 import type { PoolMember } from './RoutingPools.js';
 import { getPool, getPoolKey } from './RoutingPools.js';
-import type { ChainAsk } from './RoutingScore.js';
+import type { ChainQuery } from './RoutingScore.js';
 import { estimateStage, estimateTransfer, getGapLimit } from './RoutingScore.js';
 import type { RoutingState } from './RoutingTypes.js';
 import type { WalkOption } from './RoutingWalk.js';
 import { walkPlan } from './RoutingWalk.js';
 
-export type { ChainAsk } from './RoutingScore.js';
+export type { ChainQuery } from './RoutingScore.js';
 export type { PrefixKey } from './RoutingPrefixes.js';
 
 /** A chain that was weighed, for the decision log. */
@@ -59,7 +59,7 @@
 /** Why a foreign domain was passed over: kept off, at its lending limit, or without a chain itself. */
 export interface ForeignRefusal {
   readonly domain: DomainId;
-  readonly why: 'doubted' | 'lends-no-more' | RoutingRefusal['kind'];
+  readonly reason: 'doubted' | 'lends-no-more' | RoutingRefusal['kind'];
 }
 
 /** What a chain is expected to cost. */
@@ -90,7 +90,7 @@
  */
 export function selectChain(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   random: Random,
 ): Result<ChainChoice, RoutingRefusal> {
   const own = selectInDomain(state, ask, ask.domain, ask.isBegun ? BEGUN_FILL : 1, random);
@@ -123,14 +123,14 @@
 }
 
 /** Whether chains of a domain stayed silent a short while ago. */
-function isDoubted({ doubted }: RoutingState, domain: DomainId, now: Millis): boolean {
+function isDoubted({ suspected: doubted }: RoutingState, domain: DomainId, now: Millis): boolean {
   return (doubted.get(domain) ?? -Infinity) > now;
 }
 
 /** Members of the domain's pool that may take new work of this ask. */
 export function selectMembers(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   domain: DomainId,
 ): readonly PoolMember[] {
   const pool = getPool(state.pools, ask.variant, domain);
@@ -140,7 +140,7 @@
 /** Of two random members the one that costs less, the link from the stage before it counted in. */
 export function pickOfTwo(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   options: readonly PoolMember[],
   previous: Pick<PoolMember, 'facts'> | null,
   random: Random,
@@ -153,7 +153,7 @@
   const b = drawn[random.nextInt(drawn.length)];
   invariant(a && b, 'there is an option to pick');
   const weigh = (member: PoolMember) => {
-    const link = previous ? getLinkBetween(state, previous.facts, member.facts) : FREE_LINK;
+    const link = previous ? getLinkBetween(state, previous.facts, member.facts) : UNLIMITED_LINK;
     const isOpen = !previous || isHopOpen(state, previous.facts, member.facts);
     return isOpen ? weighMember(state, ask, member, link) : Infinity;
   };
@@ -161,7 +161,7 @@
 }
 
 /** What a chain is expected to cost this ask. */
-export function scoreChain(state: RoutingState, ask: ChainAsk, chain: Chain): ChainScore {
+export function scoreChain(state: RoutingState, ask: ChainQuery, chain: Chain): ChainScore {
   const bytes = getActivationBytes(state, ask);
   let gap = 0;
   let path = 0;
@@ -188,7 +188,7 @@
 }
 
 /** A chain of stages that are known to cover the model. */
-export function buildChain(ask: ChainAsk, stages: readonly Stage[]): Chain {
+export function buildChain(ask: ChainQuery, stages: readonly Stage[]): Chain {
   const chain = createChain(ask.variant, ask.layerCount, stages);
   invariant(chain.ok, 'stages that cover the layers form a chain');
   return chain.value;
@@ -197,7 +197,7 @@
 /** A whole chain in another domain that can be reached and still lends to us, or why each has none. */
 function selectAbroad(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   random: Random,
 ): Result<ChainChoice, readonly ForeignRefusal[]> {
   const refusals: ForeignRefusal[] = [];
@@ -210,21 +210,21 @@
   for (const domain of order) {
     const { model, version } = ask.variant;
     const planned = state.plans.get(getPoolKey(model, version, domain));
-    const healed = getHealedShare(state.domains.get(domain), ask.now);
+    const healed = getRampUpShare(state.domains.get(domain), ask.now);
     const begun = ask.isBegun ?? false;
     const lent = planned
-      ? getLentCalls(planned.plan, state.tuning, ask.priority, begun, healed)
+      ? getCrossDomainCallLimit(planned.plan, state.tuning, ask.priority, begun, healed)
       : 0;
     if (isDoubted(state, domain, ask.now)) {
-      refusals.push({ domain, why: 'doubted' });
-    } else if ((state.crossing.get(domain) ?? 0) + 1 > lent) {
-      refusals.push({ domain, why: 'lends-no-more' });
+      refusals.push({ domain, reason: 'doubted' });
+    } else if ((state.crossDomainCalls.get(domain) ?? 0) + 1 > lent) {
+      refusals.push({ domain, reason: 'lends-no-more' });
     } else {
       const choice = selectInDomain(state, ask, domain, FOREIGN_FILL, random);
       if (choice.ok) {
         return choice;
       }
-      refusals.push({ domain, why: choice.error.kind });
+      refusals.push({ domain, reason: choice.error.kind });
     }
   }
   return createFailed(refusals);
@@ -233,7 +233,7 @@
 /** The best of few chains in one domain, if its engines are filled to less than `fill` of the limit. */
 function selectInDomain(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   domain: DomainId,
   fill: number,
   random: Random,
@@ -273,7 +273,7 @@
 /** Stages drawn by the plan; by search where the plan does not fit. Null if all drawn were full. */
 function drawStages(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   domain: DomainId,
   random: Random,
 ): Result<readonly Stage[] | null, RoutingRefusal> {
@@ -299,7 +299,7 @@
 
 function weighOption(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   { member, hop, previous }: WalkOption,
 ): number {
   const isOpen = !previous || isHopOpen(state, previous.facts, member.facts);
@@ -310,7 +310,7 @@
 
 function weighMember(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   { facts, holding }: PoolMember,
   link: LinkCost,
 ): number {
@@ -320,7 +320,7 @@
   return cost.weight + transfer.gap * ask.maxTokens + transfer.prefill;
 }
 
-function mayServe(state: RoutingState, ask: ChainAsk, { id, holding }: PoolMember): boolean {
+function mayServe(state: RoutingState, ask: ChainQuery, { id, holding }: PoolMember): boolean {
   const { variant } = ask;
   // A plan may be older than the latest report of what the engine holds.
   const held = state.loads.get(id)?.load.holding;
@@ -337,6 +337,6 @@
   );
 }
 
-function getActivationBytes(state: RoutingState, ask: ChainAsk): number {
+function getActivationBytes(state: RoutingState, ask: ChainQuery): number {
   return state.models.get(ask.variant.model)?.activationBytes ?? DEFAULT_ACTIVATION_BYTES;
 }
--- a/packages/routing/src/RoutingDomains.ts
+++ b/packages/routing/src/RoutingDomains.ts
@@ -34,7 +34,7 @@
 const BEGUN_SHARE = 1.5;
 
 /** Share of the lending limit that holds now: it grows from nothing after a cut has healed. */
-export function getHealedShare(reach: DomainReach | undefined, now: Millis): number {
+export function getRampUpShare(reach: DomainReach | undefined, now: Millis): number {
   if (!reach) {
     return 1;
   }
@@ -42,7 +42,7 @@
 }
 
 /** Calls that this instance may have in another domain at one time. */
-export function getLentCalls(
+export function getCrossDomainCallLimit(
   plan: CapacityPlan,
   tuning: RoutingTuning,
   priority: PriorityName,
--- a/packages/routing/src/RoutingHealth.ts
+++ b/packages/routing/src/RoutingHealth.ts
@@ -146,6 +146,6 @@
 }
 
 /** An engine that joined a running group takes its share step by step. */
-export function startSlowly(health: EngineHealth, now: Millis): EngineHealth {
+export function beginSlowStart(health: EngineHealth, now: Millis): EngineHealth {
   return { ...health, warmSince: now };
 }
--- a/packages/routing/src/RoutingHops.ts
+++ b/packages/routing/src/RoutingHops.ts
@@ -7,7 +7,7 @@
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import { getEntry, withEntry } from './RoutingTable.js';
+import { getEntry, withEntry } from './RoutingBucketMap.js';
 import type { RoutingState } from './RoutingTypes.js';
 
 /** How a running stream got on since it was last looked at. */
--- a/packages/routing/src/RoutingLinks.ts
+++ b/packages/routing/src/RoutingLinks.ts
@@ -19,10 +19,10 @@
 
 const ANY = '*';
 /** The way within a rack, or where no link is named. */
-export const FREE_LINK: LinkCost = { key: null, bytesPerSecond: Infinity, delayMs: 0 };
+export const UNLIMITED_LINK: LinkCost = { key: null, bytesPerSecond: Infinity, delayMs: 0 };
 
 /** Where an engine stands: the names that a link may use for its end. */
-export interface EnginePlace {
+export interface EngineLocation {
   readonly rack: string;
   readonly domain: DomainId;
   readonly region: RegionId;
@@ -34,10 +34,10 @@
   readonly regions: ReadonlyMap<DomainId, RegionId>;
 }
 
-export function getEnginePlace(
+export function getEngineLocation(
   facts: EngineFacts,
   regions: ReadonlyMap<DomainId, RegionId>,
-): EnginePlace {
+): EngineLocation {
   return {
     rack: facts.rack,
     domain: facts.domain,
@@ -48,8 +48,8 @@
 /** The link from one place to another: the most exact match; within a rack there is none. */
 export function getLinkCost(
   links: readonly LinkFacts[],
-  from: EnginePlace,
-  to: EnginePlace,
+  from: EngineLocation,
+  to: EngineLocation,
 ): LinkCost {
   for (const level of ['rack', 'domain', 'region'] as const) {
     if (from[level] !== to[level]) {
@@ -59,7 +59,7 @@
       }
     }
   }
-  return FREE_LINK;
+  return UNLIMITED_LINK;
 }
 
 function findLink(links: readonly LinkFacts[], from: string, to: string): LinkCost | null {
@@ -95,5 +95,5 @@
   from: EngineFacts,
   to: EngineFacts,
 ): LinkCost {
-  return getLinkCost(links, getEnginePlace(from, regions), getEnginePlace(to, regions));
+  return getLinkCost(links, getEngineLocation(from, regions), getEngineLocation(to, regions));
 }
--- a/packages/routing/src/RoutingPlan.ts
+++ b/packages/routing/src/RoutingPlan.ts
@@ -40,12 +40,18 @@
   return [...byPlace.values()].map((group) => {
     const { facts, holding } = group[0] as PoolMember;
     let sum = 0;
-    const rates = group.map((member) => {
+    const cumulativeRates = group.map((member) => {
       sum += MILLIS_PER_SECOND / options.getTokenCost(member);
       return sum;
     });
     const { first, end } = holding.layers;
-    return { zone: zones.get(facts.rack) ?? facts.rack, first, end, members: group, rates };
+    return {
+      zone: zones.get(facts.rack) ?? facts.rack,
+      first,
+      end,
+      members: group,
+      cumulativeRates,
+    };
   });
 }
 
--- a/packages/routing/src/RoutingPlanHops.ts
+++ b/packages/routing/src/RoutingPlanHops.ts
@@ -1,5 +1,5 @@
 /** Turns a solved flow into hops to draw from: from each place, the next groups with their shares. */
-import { FREE_LINK } from './RoutingLinks.js';
+import { UNLIMITED_LINK } from './RoutingLinks.js';
 import type {
   CapacityPlan,
   PlanGroup,
@@ -22,7 +22,9 @@
     entering.set(key, [...(entering.get(key) ?? []), { group, flow: solved.groupFlows[i] ?? 0 }]);
   });
   const starts = groups.flatMap((group, i) =>
-    group.first === 0 ? [{ hop: { group, link: FREE_LINK }, flow: solved.groupFlows[i] ?? 0 }] : [],
+    group.first === 0
+      ? [{ hop: { group, link: UNLIMITED_LINK }, flow: solved.groupFlows[i] ?? 0 }]
+      : [],
   );
   const hops = new Map<string, PlanHops>();
   const ends = new Map(groups.map(({ end, zone }) => [getHopKey(end, zone), { end, zone }]));
@@ -32,7 +34,7 @@
     }
   }
   const { layerCount } = options;
-  return { layerCount, tokensPerSecond: solved.total, starts: sumHops(starts), hops };
+  return { layerCount, tokensPerSecond: solved.total, firstHops: sumHops(starts), hops };
 }
 
 interface WeighedHop {
@@ -52,7 +54,7 @@
   const here = entering.get(getHopKey(at, zone)) ?? [];
   const taken = here.reduce((sum, { flow }) => sum + flow, 0);
   const fromOthers = arriving.reduce((sum, { flow }) => sum + flow, 0);
-  const staying = { toZone: zone, link: FREE_LINK, flow: Math.max(0, taken - fromOthers) };
+  const staying = { toZone: zone, link: UNLIMITED_LINK, flow: Math.max(0, taken - fromOthers) };
   return [staying, ...leaving].flatMap(({ toZone, link, flow }) => {
     const next = entering.get(getHopKey(at, toZone)) ?? [];
     const total = next.reduce((sum, entry) => sum + entry.flow, 0);
@@ -70,5 +72,5 @@
     sum += flow;
     return sum;
   });
-  return { hops: used.map(({ hop }) => hop), sums };
+  return { hops: used.map(({ hop }) => hop), cumulativeFlows: sums };
 }
--- a/packages/routing/src/RoutingPlanTypes.ts
+++ b/packages/routing/src/RoutingPlanTypes.ts
@@ -10,7 +10,7 @@
   readonly end: number;
   readonly members: readonly PoolMember[];
   /** Sums of the members' rates, for drawing one by its rate. */
-  readonly rates: readonly number[];
+  readonly cumulativeRates: readonly number[];
 }
 
 /** A way from one group to the next one, with its share of the flow. */
@@ -22,13 +22,13 @@
 /** Hops with the sums of their shares, for drawing one by its share. */
 export interface PlanHops {
   readonly hops: readonly PlanHop[];
-  readonly sums: readonly number[];
+  readonly cumulativeFlows: readonly number[];
 }
 
 export interface CapacityPlan {
   readonly layerCount: number;
   readonly tokensPerSecond: number;
-  readonly starts: PlanHops;
+  readonly firstHops: PlanHops;
   /** Hops that leave a zone at a layer, by `getHopKey`. */
   readonly hops: ReadonlyMap<string, PlanHops>;
 }
@@ -49,5 +49,5 @@
 
 /** Tokens a second of a whole group. */
 export function getGroupRate(group: PlanGroup): number {
-  return group.rates.at(-1) ?? 0;
+  return group.cumulativeRates.at(-1) ?? 0;
 }
--- a/packages/routing/src/RoutingPrefixes.ts
+++ b/packages/routing/src/RoutingPrefixes.ts
@@ -3,8 +3,8 @@
  * come late and with gaps. A sighting is an expectation that fades, never a fact.
  */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import type { RoutingTable } from './RoutingTable.js';
-import { getEntry, withEntry } from './RoutingTable.js';
+import type { BucketMap } from './RoutingBucketMap.js';
+import { getEntry, withEntry } from './RoutingBucketMap.js';
 
 /** A prefix of a prompt that engines may have in their cache. */
 export interface PrefixKey {
@@ -13,13 +13,13 @@
 }
 
 /** An engine that had a prefix in its cache, in the process of that boot id. */
-export interface PrefixSighting {
+export interface PrefixObservation {
   readonly engine: EngineId;
   readonly bootId: string | null;
   readonly seenAt: Millis;
 }
 
-export type PrefixTable = RoutingTable<readonly PrefixSighting[]>;
+export type PrefixTable = BucketMap<readonly PrefixObservation[]>;
 
 /** Age at which a sighting has lost two thirds of its worth. */
 const FADING_MS = 60000;
@@ -27,10 +27,10 @@
 const PREFIXES_PER_BUCKET = 32;
 
 /** Takes in that engines have a prefix in their cache. */
-export function addSightings(
+export function addPrefixObservations(
   prefixes: PrefixTable,
   key: string,
-  sightings: readonly PrefixSighting[],
+  sightings: readonly PrefixObservation[],
 ): PrefixTable {
   const known = getEntry(prefixes, key) ?? [];
   const others = known.filter(({ engine }) => !sightings.some((s) => s.engine === engine));
--- a/packages/routing/src/RoutingRepair.ts
+++ b/packages/routing/src/RoutingRepair.ts
@@ -6,7 +6,7 @@
 import type { EngineId, Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createOk } from '@skylarksail/core/CoreTypes';
 import { getOwnWork } from './RoutingCalls.js';
-import type { ChainAsk, ChainCandidate, ChainScore, RoutingRefusal } from './RoutingChoice.js';
+import type { ChainQuery, ChainCandidate, ChainScore, RoutingRefusal } from './RoutingChoice.js';
 import { buildChain, pickOfTwo, scoreChain, selectChain, selectMembers } from './RoutingChoice.js';
 import { coverLayers } from './RoutingCover.js';
 import { getGapLimit } from './RoutingScore.js';
@@ -47,7 +47,7 @@
   state: RoutingState,
   chain: Chain,
   failedEngines: ReadonlySet<EngineId>,
-  ask: ChainAsk,
+  ask: ChainQuery,
   random: Random,
 ): Result<RepairChoice, RoutingRefusal> {
   const avoidEngines = new Set([...ask.avoidEngines, ...failedEngines]);
@@ -71,7 +71,7 @@
 }
 
 /** Time until the slowest of these stages has read the prompts that it has of us, and this one. */
-function estimateWait(state: RoutingState, ask: ChainAsk, stages: readonly Stage[]): Millis {
+function estimateWait(state: RoutingState, ask: ChainQuery, stages: readonly Stage[]): Millis {
   const waits = stages.map(({ engine, layers }) => {
     const speed = state.engines.get(engine)?.prefillLayerTokensPerSecond ?? Infinity;
     const ahead = getOwnWork(state, engine).prefillTokens * state.tuning.instanceCount;
@@ -85,7 +85,7 @@
 function repairStages(
   state: RoutingState,
   chain: Chain,
-  ask: ChainAsk,
+  ask: ChainQuery,
   random: Random,
 ): Repair | null {
   const found: (ChainScore & { readonly chain: Chain; readonly wait: Millis })[] = [];
@@ -118,7 +118,7 @@
 function replaceStages(
   state: RoutingState,
   chain: Chain,
-  ask: ChainAsk,
+  ask: ChainQuery,
   random: Random,
 ): Chain | null {
   const used = new Set(chain.stages.map(({ engine }) => engine));
--- a/packages/routing/src/RoutingScore.ts
+++ b/packages/routing/src/RoutingScore.ts
@@ -12,7 +12,7 @@
 import type { RoutingState } from './RoutingTypes.js';
 
 /** What a request needs of a chain. */
-export interface ChainAsk {
+export interface ChainQuery {
   readonly variant: ModelVariant;
   readonly layerCount: number;
   /** Domain of the instance that asks. */
@@ -124,7 +124,7 @@
 /** What the engine would cost this ask for these layers. */
 export function estimateStage(
   state: RoutingState,
-  ask: ChainAsk,
+  ask: ChainQuery,
   facts: EngineFacts,
   layers: LayerRange,
 ): StageCost {
@@ -164,7 +164,12 @@
 }
 
 /** Whether the KV cache is expected to have room, by the last report and our own calls since. */
-function hasMemory(state: RoutingState, ask: ChainAsk, facts: EngineFacts, depth: number): boolean {
+function hasMemory(
+  state: RoutingState,
+  ask: ChainQuery,
+  facts: EngineFacts,
+  depth: number,
+): boolean {
   const known = state.loads.get(facts.id);
   if (!known) {
     return true;
--- a/packages/routing/src/RoutingState.ts
+++ b/packages/routing/src/RoutingState.ts
@@ -3,11 +3,11 @@
 import type { EngineFacts, Holding, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import { getHealth, getOwnWork, getPoolCalls, setHealth } from './RoutingCalls.js';
-import { recordBoot, startSlowly } from './RoutingHealth.js';
+import { recordBoot, beginSlowStart } from './RoutingHealth.js';
 import type { PoolMember } from './RoutingPools.js';
 import { getPoolKey, moveMember } from './RoutingPools.js';
-import { addSightings } from './RoutingPrefixes.js';
-import { createTable } from './RoutingTable.js';
+import { addPrefixObservations } from './RoutingPrefixes.js';
+import { createBucketMap } from './RoutingBucketMap.js';
 import type { RoutingTuning } from './RoutingTuning.js';
 import { DEFAULT_TUNING } from './RoutingTuning.js';
 import type { KnownLoad, RoutingState } from './RoutingTypes.js';
@@ -37,16 +37,16 @@
     links: [],
     regions: new Map(),
     domains: new Map(),
-    doubted: new Map(),
-    own: createTable(),
-    health: createTable(),
-    prefixes: createTable(),
+    suspected: new Map(),
+    own: createBucketMap(),
+    health: createBucketMap(),
+    prefixes: createBucketMap(),
     pools: new Map(),
     plans: new Map(),
     poolCalls: new Map(),
-    crossing: new Map(),
+    crossDomainCalls: new Map(),
     hops: new Map(),
-    hopPrompts: createTable(),
+    hopPrompts: createBucketMap(),
     mix: {
       promptTokens: whole.promptTokensPerToken * PRIOR_MIX_TOKENS,
       answerTokens: PRIOR_MIX_TOKENS,
@@ -158,7 +158,7 @@
   seenAt: Millis,
 ): RoutingState {
   const { bootId } = getHealth(state, engine);
-  const prefixes = addSightings(state.prefixes, key, [{ engine, bootId, seenAt }]);
+  const prefixes = addPrefixObservations(state.prefixes, key, [{ engine, bootId, seenAt }]);
   return { ...state, prefixes };
 }
 
@@ -170,7 +170,7 @@
   }
   const booted = recordBoot(before, bootId, now);
   const joined = before.bootId === null && now - (state.firstLoadAt ?? now) > SETTLING_MS;
-  const next = setHealth(state, id, joined ? startSlowly(booted, now) : booted);
+  const next = setHealth(state, id, joined ? beginSlowStart(booted, now) : booted);
   if (before.bootId === null || !state.leaving.has(id)) {
     return next;
   }
--- a/packages/routing/src/RoutingTypes.ts
+++ b/packages/routing/src/RoutingTypes.ts
@@ -9,7 +9,7 @@
 import type { CapacityPlan } from './RoutingPlanTypes.js';
 import type { Pool, PoolIndex } from './RoutingPools.js';
 import type { PrefixKey, PrefixTable } from './RoutingPrefixes.js';
-import type { RoutingTable } from './RoutingTable.js';
+import type { BucketMap } from './RoutingBucketMap.js';
 import type { RoutingTuning } from './RoutingTuning.js';
 
 /** Work that this instance itself has on an engine. */
@@ -71,19 +71,19 @@
   readonly regions: ReadonlyMap<DomainId, RegionId>;
   readonly domains: ReadonlyMap<DomainId, DomainReach>;
   /** Other domains of which nothing came over a whole chain: until when we keep off them. */
-  readonly doubted: ReadonlyMap<DomainId, Millis>;
-  readonly own: RoutingTable<OwnWork>;
-  readonly health: RoutingTable<EngineHealth>;
+  readonly suspected: ReadonlyMap<DomainId, Millis>;
+  readonly own: BucketMap<OwnWork>;
+  readonly health: BucketMap<EngineHealth>;
   readonly prefixes: PrefixTable;
   readonly pools: PoolIndex;
   readonly plans: ReadonlyMap<string, PlannedPool>;
   /** Own calls by pool. */
   readonly poolCalls: ReadonlyMap<string, number>;
   /** Own calls in other domains. */
-  readonly crossing: ReadonlyMap<DomainId, number>;
+  readonly crossDomainCalls: ReadonlyMap<DomainId, number>;
   /** Hops between racks that were late lately, and prompts of ours that cross any hop now. */
   readonly hops: ReadonlyMap<string, HopHealth>;
-  readonly hopPrompts: RoutingTable<number>;
+  readonly hopPrompts: BucketMap<number>;
   readonly mix: WorkMix;
   readonly tuning: RoutingTuning;
 }
--- a/packages/routing/src/RoutingWalk.ts
+++ b/packages/routing/src/RoutingWalk.ts
@@ -28,7 +28,7 @@
 ): readonly Stage[] | null {
   const stages: Stage[] = [];
   const used = new Set<EngineId>();
-  let hops: PlanHops | undefined = plan.starts;
+  let hops: PlanHops | undefined = plan.firstHops;
   let previous: PoolMember | null = null;
   while (hops) {
     const best: WalkOption | null = drawBest(hops, previous, used, weigh, random);
@@ -57,8 +57,8 @@
   let best: WalkOption | null = null;
   let least = Infinity;
   for (let i = 0; i < DRAWS; i++) {
-    const hop = hops.hops[drawIndex(hops.sums, random)];
-    const member = hop?.group.members[drawIndex(hop.group.rates, random)];
+    const hop = hops.hops[drawIndex(hops.cumulativeFlows, random)];
+    const member = hop?.group.members[drawIndex(hop.group.cumulativeRates, random)];
     if (hop && member && !used.has(member.id)) {
       const weight = weigh({ member, hop, previous });
       if (weight < least) {
--- a/packages/routing/src/__tests__/unit/RoutingChoice.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingChoice.test.ts
@@ -12,10 +12,10 @@
   setRoutingFacts,
 } from '../../RoutingState.js';
 import {
-  createAsk,
+  createQuery,
   createFacts,
   createFilledState,
-  createSeen,
+  createSeenLoad,
   LAYERS,
 } from './RoutingFixtures.js';
 
@@ -37,7 +37,7 @@
   const engines: EngineId[] = [];
   let state = start;
   for (;;) {
-    const ask = createAsk({ now });
+    const ask = createQuery({ now });
     const choice = selectChain(state, ask, random);
     if (!choice.ok) {
       return { state, engines, refusal: choice.error.kind };
@@ -83,12 +83,12 @@
 
   it('says why there is no chain: not held, a gap, or out of reach', () => {
     const random = createRandom(1);
-    const ask = createAsk({ domain: 'a' });
+    const ask = createQuery({ domain: 'a' });
     const none = selectChain(createFilledState([]), ask, random);
     const part = { facts: createFacts('x'), layers: [0, 10] as const };
     const gap = selectChain(createFilledState([part]), ask, random);
     const away = setDomainReach(createDomains(), 'b', false, 0);
-    const cut = selectChain(away, createAsk({ domain: 'c' }), random);
+    const cut = selectChain(away, createQuery({ domain: 'c' }), random);
     expect([none, gap].map((r) => !r.ok && r.error.kind)).to.deep.equal([
       'model-not-held',
       'layers-missing',
@@ -97,7 +97,7 @@
     expect(cut.ok).to.equal(true);
     const nothing = selectChain(
       setDomainReach(away, 'a', false, 0),
-      createAsk({ domain: 'c' }),
+      createQuery({ domain: 'c' }),
       random,
     );
     expect(!nothing.ok && nothing.error.kind).to.equal('cut-off');
@@ -112,7 +112,7 @@
       .slice(1)
       .reduce(
         (state, { facts }) =>
-          setLoad(state, createSeen(facts.id, WHOLE, { running: 6, seenAt: 1 })),
+          setLoad(state, createSeenLoad(facts.id, WHOLE, { running: 6, seenAt: 1 })),
         createFilledState(base),
       );
     const tuning = { ...start.tuning, instanceCount: 20 };
@@ -122,7 +122,7 @@
       const random = createRandom(instance + 1);
       let state = view;
       for (let i = 0; i < 6; i++) {
-        const choice = selectChain(state, createAsk({ now: 2 }), random);
+        const choice = selectChain(state, createQuery({ now: 2 }), random);
         if (choice.ok) {
           const { chain } = choice.value;
           chain.stages.forEach(({ engine }) => counts.set(engine, (counts.get(engine) ?? 0) + 1));
@@ -137,8 +137,8 @@
   it('leaves engines without room in the KV cache, and prefers those that hold the prefix', () => {
     const engines = ['x', 'y'].map((id) => ({ facts: createFacts(id), layers: WHOLE }));
     const state = refreshPlans(createFilledState(engines), 0);
-    const full = setLoad(state, createSeen('x', WHOLE, { kvUsed: 0.999, seenAt: 1 }));
-    const ask = createAsk({
+    const full = setLoad(state, createSeenLoad('x', WHOLE, { kvUsed: 0.999, seenAt: 1 }));
+    const ask = createQuery({
       promptTokens: 2000,
       prefixKeys: [{ key: 'template', tokens: 1900 }],
       now: 2,
--- a/packages/routing/src/__tests__/unit/RoutingFixtures.ts
+++ b/packages/routing/src/__tests__/unit/RoutingFixtures.ts
@@ -1,6 +1,6 @@
 /** Engines, asks and loads for the tests of routing. */
 import type { EngineFacts, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
-import type { ChainAsk } from '../../RoutingChoice.js';
+import type { ChainQuery } from '../../RoutingChoice.js';
 import type { RoutingState } from '../../RoutingState.js';
 import { createRoutingState, setEngines, setLoad } from '../../RoutingState.js';
 
@@ -26,7 +26,7 @@
   };
 }
 
-export function createSeen(
+export function createSeenLoad(
   engine: string,
   [first, end]: readonly [number, number],
   { running = 0, seenAt = 0, bootId = 'b1', kvUsed = 0 } = {},
@@ -55,10 +55,13 @@
     createRoutingState(),
     engines.map(({ facts }) => facts),
   );
-  return engines.reduce((s, { facts, layers }) => setLoad(s, createSeen(facts.id, layers)), state);
+  return engines.reduce(
+    (s, { facts, layers }) => setLoad(s, createSeenLoad(facts.id, layers)),
+    state,
+  );
 }
 
-export function createAsk(changes: Partial<ChainAsk> = {}): ChainAsk {
+export function createQuery(changes: Partial<ChainQuery> = {}): ChainQuery {
   return {
     variant: VARIANT,
     layerCount: LAYERS,
--- a/packages/routing/src/__tests__/unit/RoutingHealth.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingHealth.test.ts
@@ -8,10 +8,10 @@
 import type { CallOutcome, RoutingState } from '../../RoutingState.js';
 import { markLeaving, recordCallEnd, recordCallStart, setLoad } from '../../RoutingState.js';
 import {
-  createAsk,
+  createQuery,
   createFacts,
   createFilledState,
-  createSeen,
+  createSeenLoad,
   LAYERS,
   VARIANT,
 } from './RoutingFixtures.js';
@@ -51,7 +51,7 @@
   const random = createRandom(5);
   const used = new Set<EngineId>();
   for (let i = 0; i < 200; i++) {
-    const choice = selectChain(state, createAsk({ now }), random);
+    const choice = selectChain(state, createQuery({ now }), random);
     if (choice.ok) {
       choice.value.chain.stages.forEach(({ engine }) => used.add(engine));
     }
@@ -103,7 +103,7 @@
   it('keeps an engine out that restarts again and again, longer each time', () => {
     let state = createGroup();
     const boot = (bootId: string, seenAt: Millis) => {
-      state = setLoad(state, createSeen('a', [0, LAYERS], { bootId, seenAt }));
+      state = setLoad(state, createSeenLoad('a', [0, LAYERS], { bootId, seenAt }));
     };
     boot('b2', 10000);
     expect(selectUsed(state, 10001)).to.include('a');
@@ -120,12 +120,12 @@
   it('gives a leaving engine nothing, by either signal, until a new process speaks', () => {
     const told = markLeaving(createGroup(), 'a');
     expect(selectUsed(told, 1)).to.not.include('a');
-    const leaving = createSeen('b', [0, LAYERS], { seenAt: 100 });
+    const leaving = createSeenLoad('b', [0, LAYERS], { seenAt: 100 });
     const reported = setLoad(told, { ...leaving, load: { ...leaving.load, state: 'leaving' } });
-    const late = setLoad(reported, createSeen('b', [0, LAYERS], { seenAt: 50 }));
-    const again = setLoad(late, createSeen('b', [0, LAYERS], { seenAt: 200 }));
+    const late = setLoad(reported, createSeenLoad('b', [0, LAYERS], { seenAt: 50 }));
+    const again = setLoad(late, createSeenLoad('b', [0, LAYERS], { seenAt: 200 }));
     expect(selectUsed(again, 201)).to.deep.equal(['c', 'd', 'e', 'f']);
-    const back = setLoad(again, createSeen('b', [0, LAYERS], { seenAt: 300, bootId: 'b2' }));
+    const back = setLoad(again, createSeenLoad('b', [0, LAYERS], { seenAt: 300, bootId: 'b2' }));
     expect(selectUsed(back, 301)).to.include('b');
   });
 });
--- a/packages/routing/src/__tests__/unit/RoutingHops.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingHops.test.ts
@@ -7,7 +7,7 @@
 import { isOnSlowHop, recordPaces } from '../../RoutingHops.js';
 import { selectRepair } from '../../RoutingRepair.js';
 import type { RoutingState } from '../../RoutingTypes.js';
-import { createAsk, createFacts, createFilledState, LAYERS, VARIANT } from './RoutingFixtures.js';
+import { createQuery, createFacts, createFilledState, LAYERS, VARIANT } from './RoutingFixtures.js';
 
 const TICK = 100;
 const FIRST = ['a1', 'a2', 'a3'];
@@ -54,7 +54,7 @@
 }
 
 function choose(state: RoutingState, seed: number) {
-  return selectChain(state, createAsk(), createRandom(seed));
+  return selectChain(state, createQuery(), createRandom(seed));
 }
 
 describe('RoutingHops', () => {
@@ -71,7 +71,7 @@
       expect(choice.ok && choice.value.chain.stages[1]?.engine).to.equal('c');
     }
     const broken = createTestChain('a1', 'b1');
-    const repair = selectRepair(state, broken, new Set(['b1']), createAsk(), createRandom(1));
+    const repair = selectRepair(state, broken, new Set(['b1']), createQuery(), createRandom(1));
     expect(repair.ok && repair.value.chain.stages.map(({ engine }) => engine)).to.deep.equal([
       'a1',
       'c',
--- a/packages/routing/src/__tests__/unit/RoutingPlans.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingPlans.test.ts
@@ -5,14 +5,14 @@
 import { refreshPlans } from '../../RoutingPlans.js';
 import type { RoutingState } from '../../RoutingState.js';
 import { setLoad, setRoutingFacts } from '../../RoutingState.js';
-import { createAsk, createFacts, createFilledState, createSeen } from './RoutingFixtures.js';
+import { createQuery, createFacts, createFilledState, createSeenLoad } from './RoutingFixtures.js';
 
 /** How often each engine is in a chain of `count` choices that leave no trace. */
 function countChoices(state: RoutingState, count: number): ReadonlyMap<EngineId, number> {
   const random = createRandom(3);
   const counts = new Map<EngineId, number>();
   for (let i = 0; i < count; i++) {
-    const choice = selectChain(state, createAsk(), random);
+    const choice = selectChain(state, createQuery(), random);
     for (const { engine } of choice.ok ? choice.value.chain.stages : []) {
       counts.set(engine, (counts.get(engine) ?? 0) + 1);
     }
@@ -33,7 +33,7 @@
     const state = refreshPlans(setRoutingFacts(createFilledState(engines), { links }), 0);
     const random = createRandom(1);
     for (let i = 0; i < 50; i++) {
-      const choice = selectChain(state, createAsk(), random);
+      const choice = selectChain(state, createQuery(), random);
       const racks = choice.ok ? choice.value.chain.stages.map(({ engine }) => engine[1]) : [];
       expect(new Set(racks).size).to.equal(1);
     }
@@ -63,7 +63,7 @@
     }));
     const start = createFilledState(engines);
     const alive = ['a', 'b'].reduce(
-      (state, id) => setLoad(state, createSeen(id, [0, 20], { seenAt: 6000 })),
+      (state, id) => setLoad(state, createSeenLoad(id, [0, 20], { seenAt: 6000 })),
       start,
     );
     expect([...countChoices(refreshPlans(alive, 6000), 60).keys()].sort()).to.deep.equal([
--- a/packages/routing/src/__tests__/unit/RoutingRepair.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingRepair.test.ts
@@ -8,10 +8,10 @@
 import type { RoutingState } from '../../RoutingState.js';
 import { markLeaving, setLoad, setRoutingFacts } from '../../RoutingState.js';
 import {
-  createAsk,
+  createQuery,
   createFacts,
   createFilledState,
-  createSeen,
+  createSeenLoad,
   LAYERS,
   VARIANT,
 } from './RoutingFixtures.js';
@@ -40,7 +40,7 @@
       state,
       createTestChain(),
       new Set(['a']),
-      createAsk(),
+      createQuery(),
       createRandom(1),
     );
     expect(gone.ok && formatChain(gone.value.chain)).to.equal('a2[0-10) > b2[10-20)');
@@ -53,7 +53,7 @@
       moved,
       createTestChain(),
       new Set(['a']),
-      createAsk(),
+      createQuery(),
       createRandom(1),
     );
     expect(recut.ok && formatChain(recut.value.chain)).to.match(/ > b2\[10-20\)$/);
@@ -73,7 +73,7 @@
       markLeaving(state, 'a'),
       createTestChain(),
       new Set(['b']),
-      createAsk(),
+      createQuery(),
       createRandom(1),
     );
     expect(repair.ok && formatChain(repair.value.chain)).to.equal('a2[0-10) > b2[10-20)');
@@ -93,7 +93,7 @@
       state,
       createTestChain(),
       new Set(['b']),
-      createAsk(),
+      createQuery(),
       createRandom(1),
     );
     expect(repair.ok && repair.value.kind).to.equal('stages');
@@ -113,7 +113,7 @@
       state,
       createTestChain(),
       new Set(['a']),
-      createAsk(),
+      createQuery(),
       createRandom(1),
     );
     expect(repair.ok && repair.value.kind).to.equal('whole');
@@ -131,12 +131,12 @@
       { facts: createFacts('full', { domain: 'b' }), layers: [10, 20] },
       { facts: createFacts('free', { domain: 'b' }), layers: [10, 20] },
     ]);
-    const filled = setLoad(state, createSeen('full', [10, 20], { kvUsed: 1, seenAt: 1 }));
+    const filled = setLoad(state, createSeenLoad('full', [10, 20], { kvUsed: 1, seenAt: 1 }));
     const repair = selectRepair(
       filled,
       createTestChain(),
       new Set(['b']),
-      createAsk(),
+      createQuery(),
       createRandom(2),
     );
     expect(repair.ok && formatChain(repair.value.chain)).to.equal('a[0-10) > free[10-20)');
@@ -162,7 +162,7 @@
     // each with that engine, which reads their prompts one behind the other.
     // Cause: a repair was taken if its engine had room, however many prompts it had yet to read.
     const start = createTwoDomains();
-    const ask = createAsk({ isBegun: true });
+    const ask = createQuery({ isBegun: true });
     let state = start;
     const engines: string[] = [];
     for (let i = 0; i < 16; i++) {
@@ -185,7 +185,7 @@
     let state = createTwoDomains();
     const avoidEngines = new Set(['b', 's']);
     const fill = (isBegun: boolean): number => {
-      const ask = createAsk({ priority: 'low', avoidEngines, isBegun });
+      const ask = createQuery({ priority: 'low', avoidEngines, isBegun });
       for (let count = 0; ; count++) {
         const choice = selectChain(state, ask, createRandom(count));
         if (!choice.ok) {
@@ -206,7 +206,7 @@
     // Cause: a failure that is laid to no single engine was forgotten.
     const avoidEngines = new Set(['b', 's']);
     const choose = (from: RoutingState, now: number) =>
-      selectChain(from, createAsk({ avoidEngines, now }), createRandom(1));
+      selectChain(from, createQuery({ avoidEngines, now }), createRandom(1));
     const start = createTwoDomains();
     const choice = choose(start, 0);
     if (!choice.ok) {
@@ -228,14 +228,14 @@
     const before = createTwoDomains();
     const start = setRoutingFacts(before, { tuning: { ...before.tuning, ...tuning } });
     const domainOf = (from: RoutingState, now: number, avoid: readonly string[] = []) => {
-      const ask = createAsk({ now, avoidEngines: new Set(avoid) });
+      const ask = createQuery({ now, avoidEngines: new Set(avoid) });
       const choice = selectChain(from, ask, createRandom(1));
       return choice.ok
         ? from.engines.get(choice.value.chain.stages[0]?.engine ?? '')?.domain
         : null;
     };
     expect(domainOf(start, 0)).to.equal('a');
-    const choice = selectChain(start, createAsk(), createRandom(1));
+    const choice = selectChain(start, createQuery(), createRandom(1));
     if (!choice.ok) {
       throw new Error('a serves');
     }
