--- a/packages/routing/src/RoutingBucketMap.ts
+++ b/packages/routing/src/RoutingBucketMap.ts
@@ -1,26 +1,26 @@
 /**
- * An immutable map that is cheap to change: entries lie in buckets, and a change copies one bucket only.
- * Copying a plain map of some thousand entries for each call would cost more than the choice itself.
+ * An immutable hash map with cheap updates: an update copies only one bucket. Copying a plain map of a few
+ * thousand entries on each call would cost more than the selection of a chain.
  */
 export interface BucketMap<V> {
   readonly buckets: readonly ReadonlyMap<string, V>[];
 }
 
 const BUCKET_COUNT = 128;
-const SPREAD = 31;
-const SPREAD_LIMIT = 1000003;
+const HASH_MULTIPLIER = 31;
+const HASH_MODULUS = 1000003;
 
 export function createBucketMap<V>(): BucketMap<V> {
   return { buckets: Array.from({ length: BUCKET_COUNT }, () => new Map<string, V>()) };
 }
 
 export function getEntry<V>(table: BucketMap<V>, key: string): V | undefined {
-  return table.buckets[getBucket(key)]?.get(key);
+  return table.buckets[getBucketIndex(key)]?.get(key);
 }
 
 /**
- * Sets an entry, or removes it if the value is undefined. A bucket of more than `bucketLimit` entries
- * loses the one that was set the longest time ago.
+ * Sets an entry, or removes it if the value is undefined. If the bucket then has more than `bucketLimit`
+ * entries, the least recently set one is evicted.
  */
 export function withEntry<V>(
   table: BucketMap<V>,
@@ -28,7 +28,7 @@
   value: V | undefined,
   bucketLimit = Infinity,
 ): BucketMap<V> {
-  const index = getBucket(key);
+  const index = getBucketIndex(key);
   const bucket = new Map(table.buckets[index]);
   bucket.delete(key);
   if (value !== undefined) {
@@ -40,16 +40,15 @@
   return { buckets: table.buckets.with(index, bucket) };
 }
 
-/** A call of the hash library costs more than the whole look-up; any spread over the buckets will do. */
-function getBucket(key: string): number {
-  let sum = 0;
+/** An inline polynomial hash: a call to the hash library costs more than the lookup, and any even distribution works. */
+function getBucketIndex(key: string): number {
+  let hash = 0;
   for (let i = 0; i < key.length; i++) {
-    sum = (sum * SPREAD + key.charCodeAt(i)) % SPREAD_LIMIT;
+    hash = (hash * HASH_MULTIPLIER + key.charCodeAt(i)) % HASH_MODULUS;
   }
-  return sum % BUCKET_COUNT;
+  return hash % BUCKET_COUNT;
 }
 
-/** Number of entries. */
 export function countEntries(table: BucketMap<unknown>): number {
   return table.buckets.reduce((sum, bucket) => sum + bucket.size, 0);
 }
--- a/packages/routing/src/RoutingCalls.ts
+++ b/packages/routing/src/RoutingCalls.ts
@@ -1,4 +1,4 @@
-/** Records of our own calls: what they keep busy, and what they tell of the engines' health. */
+/** Tracks this instance's own calls: the load that they put on engines, and what they show of engine health. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { EngineHealth } from './RoutingHealth.js';
@@ -20,21 +20,21 @@
 
 export const NO_WORK: OwnWork = { calls: 0, kvTokens: 0, prefillTokens: 0 };
 
-/** How much of the learned mix remains after one more call. */
-const MIX_MEMORY = 0.995;
-const PEERS_COMPARED = 24;
+/** Decay factor of the observed workload mix per call. */
+const MIX_DECAY = 0.995;
+const MAX_PEERS_COMPARED = 24;
 
-/** Work of this instance on an engine. */
+/** Work that this instance has on an engine. */
 export function getOwnWork(state: RoutingState, engine: EngineId): OwnWork {
   return getEntry(state.own, engine) ?? NO_WORK;
 }
 
-/** Health of an engine as seen so far. */
+/** Health of an engine as observed so far. */
 export function getHealth(state: RoutingState, engine: EngineId): EngineHealth {
   return getEntry(state.health, engine) ?? NEW_HEALTH;
 }
 
-/** Own calls in a pool. */
+/** Number of own calls in a pool. */
 export function getPoolCalls(state: RoutingState, poolKey: string | null): number {
   return poolKey === null ? 0 : (state.poolCalls.get(poolKey) ?? 0);
 }
@@ -47,8 +47,7 @@
   return { ...state, health: withEntry(state.health, engine, health) };
 }
 
-/** Counts a call's work on each engine of its chain. */
-/** Tokens that a call is expected to hold in the KV cache. */
+/** Tokens that a call is expected to occupy in the KV cache. */
 export function getKvTokens({
   promptTokens,
   answerTokens,
@@ -57,37 +56,38 @@
   return promptTokens + Math.min(maxTokens, answerTokens ?? maxTokens);
 }
 
+/** Adds a call's work to each engine of its chain. */
 export function recordCallStart(state: RoutingState, call: RoutedCall): RoutingState {
   const kvTokens = getKvTokens(call);
   const change = { calls: 1, kvTokens, prefillTokens: call.promptTokens };
   const next = countHopPrompts(state, call.chain, 1);
-  return countCall(changeOwnWork(next, call.chain, change), call, 1);
+  return changeCallCounts(changeOwnWork(next, call.chain, change), call, 1);
 }
 
-/** The first token came: the prompt is prefilled, and its prefixes are cached. */
+/** Records the first token of a call: its prompt is prefilled, and its prefixes are cached. */
 export function recordFirstToken(
   state: RoutingState,
   call: RoutedCall,
   now: Millis = 0,
 ): RoutingState {
   const change = { calls: 0, kvTokens: 0, prefillTokens: -call.promptTokens };
-  const read = countHopPrompts(clearDoubt(state, call.chain), call.chain, -1);
-  const next = changeOwnWork(read, call.chain, change);
-  const sightings = call.chain.stages.map(({ engine }) => ({
+  const withHopCounts = countHopPrompts(clearSuspicion(state, call.chain), call.chain, -1);
+  const next = changeOwnWork(withHopCounts, call.chain, change);
+  const observations = call.chain.stages.map(({ engine }) => ({
     engine,
     bootId: getHealth(state, engine).bootId,
     seenAt: now,
   }));
   const prefixes = (call.prefixKeys ?? []).reduce(
-    (table, { key }) => addPrefixObservations(table, key, sightings),
+    (table, { key }) => addPrefixObservations(table, key, observations),
     state.prefixes,
   );
   return { ...next, prefixes };
 }
 
 /**
- * Takes in the time between tokens of a call so far. To be told of a running call now and then: a slow
- * engine's calls end late, and would otherwise be heard of last.
+ * Records the time between tokens of a call so far. Call it periodically for running calls: calls on a
+ * slow engine end late, so their measurements would otherwise arrive last.
  */
 export function recordTokenGap(
   state: RoutingState,
@@ -109,7 +109,7 @@
   }, smoothed);
 }
 
-/** Takes a call's work off its engines. `hadFirstToken` says whether its prompt was prefilled. */
+/** Removes a call's work from its engines. `hadFirstToken` says whether its prompt was prefilled. */
 export function recordCallEnd(
   state: RoutingState,
   call: RoutedCall,
@@ -120,8 +120,8 @@
   const kvTokens = -getKvTokens(call);
   const prefillTokens = hadFirstToken ? 0 : -call.promptTokens;
   const change = { calls: -1, kvTokens, prefillTokens };
-  const read = hadFirstToken ? state : countHopPrompts(state, call.chain, -1);
-  const next = countCall(changeOwnWork(read, call.chain, change), call, -1);
+  const withHopCounts = hadFirstToken ? state : countHopPrompts(state, call.chain, -1);
+  const next = changeCallCounts(changeOwnWork(withHopCounts, call.chain, change), call, -1);
   if (outcome.kind === 'answered') {
     return recordAnswered(next, call, outcome, now);
   }
@@ -129,25 +129,25 @@
     return recordEngineFailure(next, outcome.engine, now);
   }
   if (outcome.kind === 'failed' && outcome.isSilent) {
-    return doubtDomain(next, call.chain, now);
+    return suspectDomain(next, call.chain, now);
   }
   return next;
 }
 
 /**
- * Keeps off a domain from which nothing comes. Membership tells of a cut only after seconds, and
- * until then each request would find out for itself.
+ * Avoids a domain whose chain timed out without output. Membership reports a partition only after seconds;
+ * until then each request would run into the same timeout.
  */
-function doubtDomain(state: RoutingState, chain: Chain, now: Millis): RoutingState {
-  const domain = getDoubtedDomain(state, chain);
+function suspectDomain(state: RoutingState, chain: Chain, now: Millis): RoutingState {
+  const domain = getSuspectableDomain(state, chain);
   return domain === null
     ? state
     : { ...state, suspected: new Map(state.suspected).set(domain, now + state.tuning.doubtTime) };
 }
 
-/** A token from a domain clears it. */
-function clearDoubt(state: RoutingState, chain: Chain): RoutingState {
-  const domain = state.suspected.size > 0 ? getDoubtedDomain(state, chain) : null;
+/** A token from a domain ends the suspicion. */
+function clearSuspicion(state: RoutingState, chain: Chain): RoutingState {
+  const domain = state.suspected.size > 0 ? getSuspectableDomain(state, chain) : null;
   if (domain === null || !state.suspected.has(domain)) {
     return state;
   }
@@ -157,8 +157,8 @@
   };
 }
 
-/** Domain of a chain's first stage, which is where our own connection goes; null if it is never doubted. */
-function getDoubtedDomain(state: RoutingState, chain: Chain): DomainId | null {
+/** Domain of the chain's first stage, to which this instance connects; null if it is never suspected. */
+function getSuspectableDomain(state: RoutingState, chain: Chain): DomainId | null {
   const { domain: own, isOwnDoubted } = state.tuning;
   const domain = state.engines.get(chain.stages[0]?.engine ?? '')?.domain ?? null;
   return own === null || (domain === own && !isOwnDoubted) ? null : domain;
@@ -171,13 +171,12 @@
   now: Millis,
 ): RoutingState {
   const mix = {
-    promptTokens:
-      state.mix.promptTokens * MIX_MEMORY + call.promptTokens - (call.cachedTokens ?? 0),
-    answerTokens: state.mix.answerTokens * MIX_MEMORY + (outcome.tokens ?? call.maxTokens),
+    promptTokens: state.mix.promptTokens * MIX_DECAY + call.promptTokens - (call.cachedTokens ?? 0),
+    answerTokens: state.mix.answerTokens * MIX_DECAY + (outcome.tokens ?? call.maxTokens),
   };
   const succeeded = call.chain.stages.reduce<RoutingState>(
     (next, { engine }) =>
-      setHealth(next, engine, judgeAnswer(next, engine, outcome.tokenGapMs, now)),
+      setHealth(next, engine, getHealthAfterAnswer(next, engine, outcome.tokenGapMs, now)),
     { ...state, mix },
   );
   return outcome.tokenGapMs === null
@@ -185,8 +184,8 @@
     : recordTokenGap(succeeded, call.chain, outcome.tokenGapMs, now);
 }
 
-/** An answer clears its engines, but for one that was ejected and is as slow as it was. */
-function judgeAnswer(
+/** An answer counts as a success of its engine, unless it is a probe of an ejected engine that is still slow. */
+function getHealthAfterAnswer(
   state: RoutingState,
   engine: EngineId,
   gap: Millis | null,
@@ -205,7 +204,7 @@
   return setHealth(state, engine, health);
 }
 
-/** Engines of the same pool that hold the same layers, `limit` of them at the most. */
+/** Other engines of the same pool that hold the same layers, at most `limit` of them. */
 function selectPeers(state: RoutingState, engine: EngineId, limit = Infinity): readonly EngineId[] {
   const known = state.loads.get(engine);
   const layers = known?.load.holding?.layers;
@@ -223,12 +222,12 @@
   return peers;
 }
 
-/** Health of some peers, enough for a median. */
+/** Health of a few peers, enough for a median. */
 function selectPeerHealth(state: RoutingState, engine: EngineId): readonly EngineHealth[] {
-  return selectPeers(state, engine, PEERS_COMPARED).map((peer) => getHealth(state, peer));
+  return selectPeers(state, engine, MAX_PEERS_COMPARED).map((peer) => getHealth(state, peer));
 }
 
-/** Whether the group of an engine can bear its ejection. The last of a group is never ejected. */
+/** Whether an engine's group may lose it by ejection. The last engine of a group is never ejected. */
 function mayEject(state: RoutingState, engine: EngineId): boolean {
   const group = [engine, ...selectPeers(state, engine)];
   const ejected = group.filter((id) => getHealth(state, id).ejectedUntil !== null).length;
@@ -236,25 +235,29 @@
   return group.length > 1 && ejected < allowed;
 }
 
-/** Counts a call in the pool of each domain that its chain passes, and as crossing in those not ours. */
-function countCall(state: RoutingState, { chain }: RoutedCall, change: number): RoutingState {
+/** Counts a call in the pool of each domain on its chain, and as a cross-domain call in other domains. */
+function changeCallCounts(
+  state: RoutingState,
+  { chain }: RoutedCall,
+  change: number,
+): RoutingState {
   const { model, version } = chain.variant;
   const poolCalls = new Map(state.poolCalls);
-  const crossing = new Map(state.crossDomainCalls);
+  const crossDomainCounts = new Map(state.crossDomainCalls);
   for (const domain of new Set(
     chain.stages.map(({ engine }) => state.engines.get(engine)?.domain),
   )) {
     if (domain !== undefined) {
-      addCount(poolCalls, getPoolKey(model, version, domain), change);
+      changeCount(poolCalls, getPoolKey(model, version, domain), change);
       if (state.tuning.domain !== null && domain !== state.tuning.domain) {
-        addCount(crossing, domain, change);
+        changeCount(crossDomainCounts, domain, change);
       }
     }
   }
-  return { ...state, poolCalls, crossDomainCalls: crossing };
+  return { ...state, poolCalls, crossDomainCalls: crossDomainCounts };
 }
 
-function addCount(counts: Map<string, number>, key: string, change: number): void {
+function changeCount(counts: Map<string, number>, key: string, change: number): void {
   counts.set(key, Math.max(0, (counts.get(key) ?? 0) + change));
 }
 
--- a/packages/routing/src/RoutingChoice.ts
+++ b/packages/routing/src/RoutingChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the chain that a request runs on. Pure: state, ask and random numbers in, choice out. */
+/** Chooses the chain that a request runs on: a pure function of state, request and random numbers. */
 import type { Chain, Stage } from '@skylarksail/core/CoreChain';
 import { createChain, formatChain } from '@skylarksail/core/CoreChain';
 import { invariant } from '@skylarksail/core/CoreErrors';
@@ -23,10 +23,10 @@
 export type { ChainQuery } from './RoutingScore.js';
 export type { PrefixKey } from './RoutingPrefixes.js';
 
-/** A chain that was weighed, for the decision log. */
+/** A chain that was considered, for the decision log. */
 export interface ChainCandidate {
   readonly chain: string;
-  /** Expected time to the end of the answer in ms; less is better. */
+  /** Expected time to the end of the answer in ms; lower is better. */
   readonly score: number;
   readonly reason: string;
 }
@@ -39,15 +39,15 @@
   readonly cachedTokens: number;
 }
 
-/** Why no chain can be had. Nothing was sent, so the request is proven not to have run. */
+/** Why no chain is available. Nothing was sent, so the request provably has not run. */
 export type RoutingRefusal =
-  /** Engines hold the model, but all that could serve it are full. */
+  /** Engines hold the model, but all that could serve the request are full. */
   | { readonly kind: 'no-capacity'; readonly retryAfter: Millis }
-  /** No engine that can be reached holds the model, version and adapter. */
+  /** No reachable engine holds the model, version and adapter. */
   | { readonly kind: 'model-not-held'; readonly retryAfter: Millis }
-  /** Engines hold it, but leave a gap somewhere. */
+  /** Engines hold the model, but some layers are not covered. */
   | { readonly kind: 'layers-missing'; readonly retryAfter: Millis }
-  /** Only other domains hold it, and they are cut off or lend no more. */
+  /** Only other domains hold the model, and they are unreachable or at their cross-domain limit. */
   | {
       readonly kind: 'cut-off';
       readonly retryAfter: Millis;
@@ -56,17 +56,17 @@
       readonly abroad: readonly ForeignRefusal[];
     };
 
-/** Why a foreign domain was passed over: kept off, at its lending limit, or without a chain itself. */
+/** Why another domain was not used: suspected, at its cross-domain limit, or without a chain itself. */
 export interface ForeignRefusal {
   readonly domain: DomainId;
   readonly reason: 'doubted' | 'lends-no-more' | RoutingRefusal['kind'];
 }
 
-/** What a chain is expected to cost. */
+/** Expected cost of a chain. */
 export interface ChainScore {
   /** Time to the end of the answer. */
   readonly finish: Millis;
-  /** Longest time between tokens that any of its engines would allow. */
+  /** Expected time between tokens at its most heavily loaded engine. */
   readonly gap: Millis;
   readonly cachedTokens: number;
 }
@@ -76,30 +76,30 @@
 }
 
 const CANDIDATE_COUNT = 3;
-const FULL_RETRY_MS = 1000;
-const MISSING_RETRY_MS = 5000;
-/** Engines of another domain may be filled so far by us: its own callers come first. */
+const NO_CAPACITY_RETRY_MS = 1000;
+const NOT_HELD_RETRY_MS = 5000;
+/** Share of the load limit up to which this instance fills engines of another domain: local callers take precedence. */
 const FOREIGN_FILL = 0.9;
-/** Answers that broke off may fill the own domain so far: nothing new is let in while they wait. */
-const BEGUN_FILL = 1.1;
+/** Share of the load limit of the own domain for interrupted answers: no new request is admitted while they wait. */
+const INTERRUPTED_FILL = 1.1;
 const DEFAULT_ACTIVATION_BYTES = 16384;
 
 /**
- * The chain with the least expected finish among few random ones, in the own domain if any there has
- * room, else in one of the others within what they lend; or why there is none.
+ * Selects the chain with the lowest expected finish time among a few random candidates: in the own domain
+ * if one there has capacity, otherwise in another domain within its cross-domain limit. Fails with a reason.
  */
 export function selectChain(
   state: RoutingState,
   ask: ChainQuery,
   random: Random,
 ): Result<ChainChoice, RoutingRefusal> {
-  const own = selectInDomain(state, ask, ask.domain, ask.isBegun ? BEGUN_FILL : 1, random);
-  if (own.ok && !isDoubted(state, ask.domain, ask.now)) {
+  const own = selectInDomain(state, ask, ask.domain, ask.isBegun ? INTERRUPTED_FILL : 1, random);
+  if (own.ok && !isSuspected(state, ask.domain, ask.now)) {
     return own;
   }
-  const crossed = selectAbroad(state, ask, random);
-  if (crossed.ok) {
-    return crossed;
+  const remote = selectInOtherDomains(state, ask, random);
+  if (remote.ok) {
+    return remote;
   }
   if (own.ok) {
     return own;
@@ -115,19 +115,23 @@
   return isHeldElsewhere
     ? createFailed({
         kind: 'cut-off',
-        retryAfter: FULL_RETRY_MS,
+        retryAfter: NO_CAPACITY_RETRY_MS,
         own: own.error.kind,
-        abroad: crossed.error,
+        abroad: remote.error,
       })
     : own;
 }
 
-/** Whether chains of a domain stayed silent a short while ago. */
-function isDoubted({ suspected: doubted }: RoutingState, domain: DomainId, now: Millis): boolean {
-  return (doubted.get(domain) ?? -Infinity) > now;
+/** Whether a chain in the domain recently timed out without output from any engine. */
+function isSuspected(
+  { suspected: suspectedUntil }: RoutingState,
+  domain: DomainId,
+  now: Millis,
+): boolean {
+  return (suspectedUntil.get(domain) ?? -Infinity) > now;
 }
 
-/** Members of the domain's pool that may take new work of this ask. */
+/** Members of the domain's pool that may serve this request. */
 export function selectMembers(
   state: RoutingState,
   ask: ChainQuery,
@@ -137,7 +141,7 @@
   return (pool?.members ?? []).filter((member) => mayServe(state, ask, member));
 }
 
-/** Of two random members the one that costs less, the link from the stage before it counted in. */
+/** Picks the cheaper of two random members (power of two choices), including the link from the previous stage. */
 export function pickOfTwo(
   state: RoutingState,
   ask: ChainQuery,
@@ -145,79 +149,85 @@
   previous: Pick<PoolMember, 'facts'> | null,
   random: Random,
 ): PoolMember {
-  const open = previous
+  const reachable = previous
     ? options.filter(({ facts }) => isHopOpen(state, previous.facts, facts))
     : options;
-  const drawn = open.length > 0 ? open : options;
-  const a = drawn[random.nextInt(drawn.length)];
-  const b = drawn[random.nextInt(drawn.length)];
-  invariant(a && b, 'there is an option to pick');
-  const weigh = (member: PoolMember) => {
+  const eligible = reachable.length > 0 ? reachable : options;
+  const a = eligible[random.nextInt(eligible.length)];
+  const b = eligible[random.nextInt(eligible.length)];
+  invariant(a && b, 'there is at least one member to pick from');
+  const getCost = (member: PoolMember) => {
     const link = previous ? getLinkBetween(state, previous.facts, member.facts) : UNLIMITED_LINK;
     const isOpen = !previous || isHopOpen(state, previous.facts, member.facts);
-    return isOpen ? weighMember(state, ask, member, link) : Infinity;
+    return isOpen ? estimateMemberCost(state, ask, member, link) : Infinity;
   };
-  return weigh(b) < weigh(a) ? b : a;
+  return getCost(b) < getCost(a) ? b : a;
 }
 
-/** What a chain is expected to cost this ask. */
+/** Expected cost of a chain for this request. */
 export function scoreChain(state: RoutingState, ask: ChainQuery, chain: Chain): ChainScore {
   const bytes = getActivationBytes(state, ask);
   let gap = 0;
-  let path = 0;
-  let first = 0;
+  let pathTime = 0;
+  let firstTokenTime = 0;
   let cachedTokens = ask.promptTokens;
   chain.stages.forEach(({ engine, layers }, i) => {
     const facts = state.engines.get(engine);
-    invariant(facts, 'a chosen engine is known');
+    invariant(facts, 'the engine of a selected chain is registered');
     const cost = estimateStage(state, ask, facts, layers);
     gap = Math.max(gap, cost.gap);
-    path += cost.step;
-    first += cost.prefill;
+    pathTime += cost.step;
+    firstTokenTime += cost.prefill;
     cachedTokens = Math.min(cachedTokens, cost.cachedTokens);
     const next = state.engines.get(chain.stages[i + 1]?.engine ?? '');
     if (next) {
       const link = getLinkBetween(state, facts, next);
       const transfer = estimateTransfer(link, bytes, ask.promptTokens - cost.cachedTokens);
       gap = isHopOpen(state, facts, next) ? gap : Infinity;
-      path += transfer.gap;
-      first += transfer.prefill;
+      pathTime += transfer.gap;
+      firstTokenTime += transfer.prefill;
     }
   });
-  return { finish: first + ask.maxTokens * Math.max(gap, path), gap, cachedTokens };
+  return { finish: firstTokenTime + ask.maxTokens * Math.max(gap, pathTime), gap, cachedTokens };
 }
 
-/** A chain of stages that are known to cover the model. */
+/** Creates a chain from stages that must cover the model. */
 export function buildChain(ask: ChainQuery, stages: readonly Stage[]): Chain {
   const chain = createChain(ask.variant, ask.layerCount, stages);
-  invariant(chain.ok, 'stages that cover the layers form a chain');
+  invariant(chain.ok, 'stages that cover all layers form a chain');
   return chain.value;
 }
 
-/** A whole chain in another domain that can be reached and still lends to us, or why each has none. */
-function selectAbroad(
+/** Selects a chain in another domain that is reachable and below its cross-domain limit, or says why each has none. */
+function selectInOtherDomains(
   state: RoutingState,
   ask: ChainQuery,
   random: Random,
 ): Result<ChainChoice, readonly ForeignRefusal[]> {
   const refusals: ForeignRefusal[] = [];
-  const names = [...new Set([...state.pools.values()].map(({ domain }) => domain))].sort();
-  const order = orderForeignDomains(
-    names,
+  const domains = [...new Set([...state.pools.values()].map(({ domain }) => domain))].sort();
+  const orderedDomains = orderForeignDomains(
+    domains,
     ask.domain,
-    random.nextInt(Math.max(1, names.length - 1)),
+    random.nextInt(Math.max(1, domains.length - 1)),
   );
-  for (const domain of order) {
+  for (const domain of orderedDomains) {
     const { model, version } = ask.variant;
     const planned = state.plans.get(getPoolKey(model, version, domain));
-    const healed = getRampUpShare(state.domains.get(domain), ask.now);
-    const begun = ask.isBegun ?? false;
-    const lent = planned
-      ? getCrossDomainCallLimit(planned.plan, state.tuning, ask.priority, begun, healed)
+    const rampUpShare = getRampUpShare(state.domains.get(domain), ask.now);
+    const hasPartialAnswer = ask.isBegun ?? false;
+    const callLimit = planned
+      ? getCrossDomainCallLimit(
+          planned.plan,
+          state.tuning,
+          ask.priority,
+          hasPartialAnswer,
+          rampUpShare,
+        )
       : 0;
-    if (isDoubted(state, domain, ask.now)) {
+    if (isSuspected(state, domain, ask.now)) {
       refusals.push({ domain, reason: 'doubted' });
-    } else if ((state.crossDomainCalls.get(domain) ?? 0) + 1 > lent) {
+    } else if ((state.crossDomainCalls.get(domain) ?? 0) + 1 > callLimit) {
       refusals.push({ domain, reason: 'lends-no-more' });
     } else {
       const choice = selectInDomain(state, ask, domain, FOREIGN_FILL, random);
@@ -230,7 +240,7 @@
   return createFailed(refusals);
 }
 
-/** The best of few chains in one domain, if its engines are filled to less than `fill` of the limit. */
+/** Selects the best of a few chains in one domain whose engines stay within the share `fill` of the load limit. */
 function selectInDomain(
   state: RoutingState,
   ask: ChainQuery,
@@ -238,7 +248,7 @@
   fill: number,
   random: Random,
 ): Result<ChainChoice, RoutingRefusal> {
-  const found: ScoredChain[] = [];
+  const candidates: ScoredChain[] = [];
   for (let i = 0; i < CANDIDATE_COUNT; i++) {
     const stages = drawStages(state, ask, domain, random);
     if (!stages.ok) {
@@ -246,31 +256,31 @@
     }
     if (stages.value) {
       const chain = buildChain(ask, stages.value);
-      found.push({ chain, ...scoreChain(state, ask, chain) });
+      candidates.push({ chain, ...scoreChain(state, ask, chain) });
     }
   }
   const limit = getGapLimit(state, ask.priority) * fill;
-  const open = found.filter(({ gap }) => gap <= limit);
-  if (open.length === 0) {
-    return createFailed({ kind: 'no-capacity', retryAfter: FULL_RETRY_MS });
+  const withinLimit = candidates.filter(({ gap }) => gap <= limit);
+  if (withinLimit.length === 0) {
+    return createFailed({ kind: 'no-capacity', retryAfter: NO_CAPACITY_RETRY_MS });
   }
-  const best = open.reduce((a, b) => (b.finish < a.finish ? b : a));
+  const best = withinLimit.reduce((a, b) => (b.finish < a.finish ? b : a));
   return createOk({
     chain: best.chain,
-    candidates: found.map((scored) => explain(scored, best, limit)),
+    candidates: candidates.map((scored) => describeCandidate(scored, best, limit)),
     crossedDomain: domain !== ask.domain,
     cachedTokens: best.cachedTokens,
   });
 }
 
-function explain(scored: ScoredChain, best: ScoredChain, limit: Millis): ChainCandidate {
+function describeCandidate(scored: ScoredChain, best: ScoredChain, limit: Millis): ChainCandidate {
   const { chain, finish, gap } = scored;
-  const verdict = scored === best ? 'least expected finish' : 'later expected finish';
-  const reason = gap > limit ? 'full' : verdict;
+  const comparison = scored === best ? 'least expected finish' : 'later expected finish';
+  const reason = gap > limit ? 'full' : comparison;
   return { chain: formatChain(chain), score: finish, reason };
 }
 
-/** Stages drawn by the plan; by search where the plan does not fit. Null if all drawn were full. */
+/** Draws stages from the plan, or by search if the plan does not apply. Null if every drawn engine was full. */
 function drawStages(
   state: RoutingState,
   ask: ChainQuery,
@@ -280,35 +290,35 @@
   const { model, version } = ask.variant;
   const plan = state.plans.get(getPoolKey(model, version, domain))?.plan;
   if (plan && plan.tokensPerSecond > 0 && plan.layerCount === ask.layerCount) {
-    const stages = walkPlan(plan, (option) => weighOption(state, ask, option), random);
+    const stages = walkPlan(plan, (option) => estimateOptionCost(state, ask, option), random);
     if (stages) {
       return createOk(stages);
     }
   }
   const members = selectMembers(state, ask, domain);
   if (members.length === 0) {
-    return createFailed({ kind: 'model-not-held', retryAfter: MISSING_RETRY_MS });
+    return createFailed({ kind: 'model-not-held', retryAfter: NOT_HELD_RETRY_MS });
   }
   const covered = coverLayers(members, { first: 0, end: ask.layerCount }, (options, previous) =>
     pickOfTwo(state, ask, options, previous, random),
   );
   return covered
     ? createOk(covered)
-    : createFailed({ kind: 'layers-missing', retryAfter: MISSING_RETRY_MS });
+    : createFailed({ kind: 'layers-missing', retryAfter: NOT_HELD_RETRY_MS });
 }
 
-function weighOption(
+function estimateOptionCost(
   state: RoutingState,
   ask: ChainQuery,
   { member, hop, previous }: WalkOption,
 ): number {
   const isOpen = !previous || isHopOpen(state, previous.facts, member.facts);
   return isOpen && mayServe(state, ask, member)
-    ? weighMember(state, ask, member, hop.link)
+    ? estimateMemberCost(state, ask, member, hop.link)
     : Infinity;
 }
 
-function weighMember(
+function estimateMemberCost(
   state: RoutingState,
   ask: ChainQuery,
   { facts, holding }: PoolMember,
@@ -322,7 +332,7 @@
 
 function mayServe(state: RoutingState, ask: ChainQuery, { id, holding }: PoolMember): boolean {
   const { variant } = ask;
-  // A plan may be older than the latest report of what the engine holds.
+  // The plan may be older than the engine's latest load report.
   const held = state.loads.get(id)?.load.holding;
   return (
     held?.model === variant.model &&
--- a/packages/routing/src/RoutingCover.ts
+++ b/packages/routing/src/RoutingCover.ts
@@ -1,17 +1,17 @@
-/** Finds engines that cover a range of layers once and in order, picking by weight and load. */
+/** Finds engines that cover each layer of a range once and in order. */
 import type { Stage } from '@skylarksail/core/CoreChain';
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
 import type { PoolMember } from './RoutingPools.js';
 
-/** Picks one of the members that can take over at a layer; `previous` is the stage before it. */
+/** Picks one of the members that can continue at a layer; `previous` is the engine of the stage before. */
 export type PickMember = (
   options: readonly PoolMember[],
   previous: PoolMember | null,
 ) => PoolMember;
 
 /**
- * Stages that cover `range`, or null if the members leave a gap. At each layer only members from which
- * the end can still be reached are offered, whole holdings before parts of them.
+ * Stages that cover `range`, or null if the members leave a gap. At each layer, `pick` gets only members from
+ * which the end is reachable; those whose holding starts at this layer take precedence.
  */
 export function coverLayers(
   members: readonly PoolMember[],
@@ -52,11 +52,11 @@
       !used.has(id) &&
       canReachEnd(Math.min(layers.end, end)),
   );
-  const whole = options.filter(({ holding }) => holding.layers.first === layer);
-  return whole.length > 0 ? whole : options;
+  const startingHere = options.filter(({ holding }) => holding.layers.first === layer);
+  return startingHere.length > 0 ? startingHere : options;
 }
 
-/** Whether the end can be reached from a layer; each layer is worked out once. */
+/** Tells whether the end is reachable from a layer; results are memoized. */
 function createReachability(
   members: readonly PoolMember[],
   end: number,
@@ -70,12 +70,12 @@
     if (cached !== undefined) {
       return cached;
     }
-    const found = members.some(
+    const isReachable = members.some(
       ({ holding: { layers } }) =>
         layers.first <= layer && layer < layers.end && canReachEnd(layers.end),
     );
-    known.set(layer, found);
-    return found;
+    known.set(layer, isReachable);
+    return isReachable;
   }
   return canReachEnd;
 }
--- a/packages/routing/src/RoutingDomains.ts
+++ b/packages/routing/src/RoutingDomains.ts
@@ -1,7 +1,7 @@
 /**
- * Crossing into other failure domains: which may be asked, and how many calls this instance may have
- * there. Each domain lends a bounded share, split over the instances of the others by count alone, so
- * the limit holds without any talk between them, and the loss of one domain cannot bring down the next.
+ * Limits on calls into other failure domains. Each domain offers a bounded share of its capacity, divided by
+ * the number of instances in the other domains, so the limit holds without coordination and the loss of one
+ * domain cannot overload the next.
  */
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
@@ -9,17 +9,17 @@
 import type { CapacityPlan } from './RoutingPlanTypes.js';
 import type { RoutingTuning } from './RoutingTuning.js';
 
-/** Whether a domain can be reached, and since when that is so. */
+/** Whether a domain is reachable, and since when. */
 export interface DomainReach {
   readonly reachable: boolean;
   readonly since: Millis;
 }
 
-/** Time over which a domain that can be reached again lends up to its full share. */
-const HEALING_MS = 20000;
+/** Time over which a domain that is reachable again returns to its full share. */
+const RAMP_UP_MS = 20000;
 
-/** The part of the lent share that new requests of each priority may fill: what waits worst goes first. */
-const CROSSING_SHARE: Readonly<Record<PriorityName, number>> = {
+/** Part of the offered share that new requests of each priority may use; the rest is for higher priorities. */
+const NEW_REQUEST_SHARE: Readonly<Record<PriorityName, number>> = {
   [Priority.Low]: 0.7,
   [Priority.Normal]: 0.85,
   [Priority.High]: 1,
@@ -27,39 +27,39 @@
 };
 
 /**
- * The part that begun answers may fill. Without one of their own, they wait until others have ended while
- * a caller has half an answer before him. They may go beyond the share, since they are a bounded number
- * that was running anyway: new requests, which could follow without end, may not.
+ * Part that interrupted answers may use, so that a caller with half an answer does not wait for other calls to
+ * end. It may exceed the share: the number of answers already running is bounded, that of new requests is not.
  */
-const BEGUN_SHARE = 1.5;
+const INTERRUPTED_SHARE = 1.5;
 
-/** Share of the lending limit that holds now: it grows from nothing after a cut has healed. */
+/** Share of the cross-domain limit that applies now: it grows linearly from 0 after a partition ends. */
 export function getRampUpShare(reach: DomainReach | undefined, now: Millis): number {
   if (!reach) {
     return 1;
   }
-  return reach.reachable ? Math.min(1, Math.max(0, (now - reach.since) / HEALING_MS)) : 0;
+  return reach.reachable ? Math.min(1, Math.max(0, (now - reach.since) / RAMP_UP_MS)) : 0;
 }
 
-/** Calls that this instance may have in another domain at one time. */
+/** Number of calls that this instance may have in another domain at once. */
 export function getCrossDomainCallLimit(
   plan: CapacityPlan,
   tuning: RoutingTuning,
   priority: PriorityName,
-  isBegun: boolean,
-  healedShare: number,
+  hasPartialAnswer: boolean,
+  rampUpShare: number,
 ): number {
-  const atFullUse = (plan.tokensPerSecond * tuning.tokenGapMs) / MILLIS_PER_SECOND;
-  const lent = (atFullUse * tuning.crossDomainShare) / Math.max(1, tuning.foreignInstanceCount);
-  return lent * (isBegun ? BEGUN_SHARE : CROSSING_SHARE[priority]) * healedShare;
+  const fullLoadCalls = (plan.tokensPerSecond * tuning.tokenGapMs) / MILLIS_PER_SECOND;
+  const limit =
+    (fullLoadCalls * tuning.crossDomainShare) / Math.max(1, tuning.foreignInstanceCount);
+  return limit * (hasPartialAnswer ? INTERRUPTED_SHARE : NEW_REQUEST_SHARE[priority]) * rampUpShare;
 }
 
-/** Domains other than the own one, in the order of `names` turned by a random start. */
+/** Domains other than the own one, rotated to begin at `start`. */
 export function orderForeignDomains(
-  names: readonly DomainId[],
+  domains: readonly DomainId[],
   own: DomainId,
   start: number,
 ): readonly DomainId[] {
-  const others = names.filter((name) => name !== own);
+  const others = domains.filter((domain) => domain !== own);
   return [...others.slice(start), ...others.slice(0, start)];
 }
--- a/packages/routing/src/RoutingErrors.ts
+++ b/packages/routing/src/RoutingErrors.ts
@@ -1,4 +1,4 @@
-/** Errors of the routing package; errors from below are turned into these. */
+/** Errors of the routing package; errors of dependencies are wrapped in these. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
 /** Any failure that this package reports by throwing. */
--- a/packages/routing/src/RoutingHops.ts
+++ b/packages/routing/src/RoutingHops.ts
@@ -1,8 +1,8 @@
 /**
- * Slow hops between racks. A stream that is late does not say why; many that share a hop, but no one
- * engine, say that the hop is slow. Such a hop is kept off where there is another way; where there is
- * none it takes one prompt at a time, and none while its streams are late: each prompt that crosses a
- * slow link holds up every stream on it, and without this rule a link at its limit never gets free.
+ * Detection of slow hops between racks. One late stream does not show the cause; many late streams that
+ * share a hop but no single engine show that the hop is slow. A slow hop is avoided where there is another
+ * path. Otherwise it carries one prompt at a time, and none while its streams are late: each prompt on a
+ * slow link blocks every stream behind it (head-of-line blocking), so a saturated link would never recover.
  */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
@@ -10,37 +10,37 @@
 import { getEntry, withEntry } from './RoutingBucketMap.js';
 import type { RoutingState } from './RoutingTypes.js';
 
-/** How a running stream got on since it was last looked at. */
+/** Progress of a running stream since the last check. */
 export interface StreamPace {
   readonly chain: Chain;
-  /** Longest time between tokens, the present silence included. */
+  /** Longest time between tokens, including the time since the last one. */
   readonly gap: Millis;
 }
 
-/** What is learned of a hop; only hops that were late lately are kept. */
+/** Observed state of a hop; only hops with recent late streams are kept. */
 export interface HopHealth {
-  /** Smoothed share of its streams that are late. */
+  /** Exponentially smoothed share of its streams that are late. */
   readonly lateShare: number;
-  /** Own prompts that it may take at once while it is held to be slow; null while it is only watched. */
+  /** Number of own prompts that may cross it at once while it is considered slow; null while it is not. */
   readonly promptLimit: number | null;
-  /** When the limit was set, or was last found to be too much. */
+  /** When the limit was set, or last exceeded what the hop can carry. */
   readonly since: Millis;
 }
 
-/** A stream is late if it has waited longer for a token: the time that 95 in 100 must keep. */
+/** A stream is late if it waits longer than this for a token: the latency target for 95 % of gaps. */
 const LATE_GAP: Millis = 78;
-const LATE_WEIGHT = 0.4;
-/** Smoothed share of late streams at which a hop is slow, and above which it takes nothing new. */
+const LATE_SMOOTHING = 0.4;
+/** Smoothed share of late streams from which on a hop is slow, and above which a slow hop admits no prompt. */
 const SLOW_SHARE = 0.4;
 const CLOSED_SHARE = 0.1;
-const FORGOTTEN_SHARE = 0.02;
-const LEAST_LATE = 3;
-/** Share of the late streams that one engine may have: beyond it, the engine is to blame. */
-const MOST_SHARED = 0.75;
-/** Time without lateness after which a slow hop is probed with twice as many prompts. */
+const CLEARED_SHARE = 0.02;
+const MIN_LATE = 3;
+/** Maximum share of the late streams on one engine; above it, the engine is the likely cause. */
+const MAX_PER_ENGINE = 0.75;
+/** Time without late streams after which the prompt limit of a slow hop doubles. */
 const PROBE_MS = 2000;
-/** A hop that bears so many prompts at once is no longer held to be slow. */
-const MENDED_PROMPTS = 16;
+/** A hop whose prompt limit would exceed this is no longer considered slow. */
+const RECOVERED_PROMPTS = 16;
 
 interface HopCount {
   readonly streams: number;
@@ -48,7 +48,7 @@
   readonly late: readonly (readonly EngineId[])[];
 }
 
-/** Takes in how the running streams got on. To be called a few times a second with all of them. */
+/** Records the progress of the running streams. Call it a few times per second with all of them. */
 export function recordPaces(
   state: RoutingState,
   paces: readonly StreamPace[],
@@ -57,7 +57,7 @@
   const counts = countHops(state, paces);
   const hops = new Map<string, HopHealth>();
   for (const key of new Set([...counts.keys(), ...state.hops.keys()])) {
-    const health = judgeHop(state.hops.get(key), counts.get(key), now);
+    const health = updateHop(state.hops.get(key), counts.get(key), now);
     if (health) {
       hops.set(key, health);
     }
@@ -65,22 +65,22 @@
   return hops.size === 0 && state.hops.size === 0 ? state : { ...state, hops };
 }
 
-/** Whether a chain crosses a hop that is held to be slow. */
+/** Whether a chain crosses a hop that is considered slow. */
 export function isOnSlowHop(state: RoutingState, chain: Chain): boolean {
-  return state.hops.size > 0 && listHops(state, chain).some((key) => isHeldSlow(state, key));
+  return state.hops.size > 0 && listHops(state, chain).some((key) => isSlowHop(state, key));
 }
 
-/** Whether a new prompt may cross between two engines now. */
+/** Whether a new prompt may cross the hop between two engines now. */
 export function isHopOpen(state: RoutingState, from: EngineFacts, to: EngineFacts): boolean {
   const key = state.hops.size > 0 ? getHopName(from, to) : null;
-  if (key === null || !isHeldSlow(state, key)) {
+  if (key === null || !isSlowHop(state, key)) {
     return true;
   }
   const { lateShare = 0, promptLimit = null } = state.hops.get(key) ?? {};
   return lateShare <= CLOSED_SHARE && (getEntry(state.hopPrompts, key) ?? 0) < (promptLimit ?? 1);
 }
 
-/** Counts a prompt that begins or ends to cross the hops of a chain. */
+/** Changes the number of prompts that are crossing each hop of a chain. */
 export function countHopPrompts(state: RoutingState, chain: Chain, change: number): RoutingState {
   const hopPrompts = listHops(state, chain).reduce((table, key) => {
     const count = Math.max(0, (getEntry(table, key) ?? 0) + change);
@@ -89,23 +89,23 @@
   return { ...state, hopPrompts };
 }
 
-function isHeldSlow(state: RoutingState, key: string): boolean {
+function isSlowHop(state: RoutingState, key: string): boolean {
   return (state.hops.get(key)?.promptLimit ?? null) !== null;
 }
 
-function judgeHop(
+function updateHop(
   known: HopHealth | undefined,
   count: HopCount | undefined,
   now: Millis,
 ): HopHealth | null {
-  const seen = count && isHopToBlame(count) ? count.late.length / count.streams : 0;
+  const observedShare = count && isHopLikelyCause(count) ? count.late.length / count.streams : 0;
   const before = known ?? { lateShare: 0, promptLimit: null, since: now };
-  const lateShare = before.lateShare + LATE_WEIGHT * (seen - before.lateShare);
+  const lateShare = before.lateShare + LATE_SMOOTHING * (observedShare - before.lateShare);
   if (lateShare >= SLOW_SHARE) {
     return { lateShare, promptLimit: 1, since: now };
   }
   if (before.promptLimit === null) {
-    return lateShare >= FORGOTTEN_SHARE ? { ...before, lateShare } : null;
+    return lateShare >= CLEARED_SHARE ? { ...before, lateShare } : null;
   }
   if (lateShare > CLOSED_SHARE) {
     return { ...before, lateShare, since: now };
@@ -115,17 +115,17 @@
     : probeHop(before, lateShare, now);
 }
 
-/** Lets a slow hop bear more, or forgets that it was slow. */
+/** Doubles the prompt limit of a slow hop, or removes the limit. */
 function probeHop(before: HopHealth, lateShare: number, now: Millis): HopHealth | null {
   const promptLimit = 2 * (before.promptLimit ?? 1);
-  return promptLimit > MENDED_PROMPTS ? null : { lateShare, promptLimit, since: now };
+  return promptLimit > RECOVERED_PROMPTS ? null : { lateShare, promptLimit, since: now };
 }
 
-/** Late streams that share one engine say that the engine is slow, not the hop. */
-function isHopToBlame({ late }: HopCount): boolean {
+/** False if most late streams share one engine, which is then the likely cause. */
+function isHopLikelyCause({ late }: HopCount): boolean {
   const byEngine = new Map<EngineId, number>();
   late.flat().forEach((engine) => byEngine.set(engine, (byEngine.get(engine) ?? 0) + 1));
-  return late.length >= LEAST_LATE && Math.max(...byEngine.values()) <= MOST_SHARED * late.length;
+  return late.length >= MIN_LATE && Math.max(...byEngine.values()) <= MAX_PER_ENGINE * late.length;
 }
 
 function countHops(
@@ -137,8 +137,8 @@
     const engines = chain.stages.map(({ engine }) => engine);
     for (const key of listHops(state, chain)) {
       const { streams, late } = counts.get(key) ?? { streams: 0, late: [] };
-      const nowLate = gap > LATE_GAP ? [...late, engines] : late;
-      counts.set(key, { streams: streams + 1, late: nowLate });
+      const lateSoFar = gap > LATE_GAP ? [...late, engines] : late;
+      counts.set(key, { streams: streams + 1, late: lateSoFar });
     }
   }
   return counts;
@@ -157,7 +157,7 @@
   return keys;
 }
 
-/** Name of the way between two racks; null within one. */
+/** Name of the hop between two racks; null within a rack. */
 function getHopName(from: EngineFacts, to: EngineFacts): string | null {
   return from.rack === to.rack ? null : `${from.rack}>${to.rack}`;
 }
--- a/packages/routing/src/RoutingLinks.ts
+++ b/packages/routing/src/RoutingLinks.ts
@@ -1,8 +1,8 @@
-/** Links between racks, domains and regions, and which of them joins two engines. */
+/** Links between racks, domains and regions, and the choice of the link between two engines. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { DomainId, Millis, RegionId } from '@skylarksail/core/CoreTypes';
 
-/** A link as the manifest names it. Ends are racks, domains or regions; `*` is any other. */
+/** A link as configured in the manifest. Its ends are racks, domains or regions; `*` matches any. */
 export interface LinkFacts {
   readonly from: string;
   readonly to: string;
@@ -10,7 +10,7 @@
   readonly delayMs: Millis;
 }
 
-/** What a transfer between two engines costs. A null key means that no link limits it. */
+/** Cost of a transfer between two engines. A null key means that no link limits it. */
 export interface LinkCost {
   readonly key: string | null;
   readonly bytesPerSecond: number;
@@ -18,10 +18,10 @@
 }
 
 const ANY = '*';
-/** The way within a rack, or where no link is named. */
+/** Cost within a rack, or where no link is configured. */
 export const UNLIMITED_LINK: LinkCost = { key: null, bytesPerSecond: Infinity, delayMs: 0 };
 
-/** Where an engine stands: the names that a link may use for its end. */
+/** Location of an engine: the names by which a link may refer to it. */
 export interface EngineLocation {
   readonly rack: string;
   readonly domain: DomainId;
@@ -45,7 +45,7 @@
   };
 }
 
-/** The link from one place to another: the most exact match; within a rack there is none. */
+/** The link between two locations by the most specific match; within a rack no link applies. */
 export function getLinkCost(
   links: readonly LinkFacts[],
   from: EngineLocation,
@@ -73,7 +73,7 @@
     const exactness = Number(link.from !== ANY) + Number(link.to !== ANY);
     if (exactness > bestExactness) {
       bestExactness = exactness;
-      // A link with a named end is shared by all that use it; one between any two is theirs alone.
+      // A link with a named end is shared by all pairs that use it; `*` to `*` is a separate link for each pair.
       const ends = exactness === 0 ? `${from}>${to}` : String(forward);
       best = {
         key: `${i}:${ends}`,
@@ -89,7 +89,7 @@
   return (link.from === from || link.from === ANY) && (link.to === to || link.to === ANY);
 }
 
-/** The link from one engine to another. */
+/** Cost of the link from one engine to another. */
 export function getLinkBetween(
   { links, regions }: LinkMap,
   from: EngineFacts,
--- a/packages/routing/src/RoutingPlan.ts
+++ b/packages/routing/src/RoutingPlan.ts
@@ -1,7 +1,7 @@
 /**
- * The capacity plan of a pool: how much of the work each group of engines and each link should carry,
- * from a max-flow. Engines of one zone with the same layers form a group, so that a domain of some
- * hundred engines is a graph of some dozen arcs. Made off the hot path, whenever the pool changes.
+ * Capacity plan of a pool: the share of the load for each group of engines and each link, from a max-flow.
+ * Engines of one zone with the same layers form a group, so a domain of a few hundred engines becomes a graph
+ * of a few dozen arcs. Plans are computed off the hot path, whenever the pool changes.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import { buildPlan } from './RoutingPlanHops.js';
@@ -11,17 +11,17 @@
 import type { PoolMember } from './RoutingPools.js';
 import { createZones } from './RoutingZones.js';
 
-/** Steps between "spread as thin as the whole flow allows" and "up to the full rate". */
+/** Fractions of the spare rate that a plan may use, tried in order: 0 spreads the load most evenly, 1 is the full rate. */
 const SPREAD_STEPS = [0, 0.25, 0.5, 1];
-const ENOUGH_FLOW = 0.998;
+const MIN_FLOW_SHARE = 0.998;
 
-/** Plans a pool. Members whose layers fit into no whole chain get no share. */
+/** Plans a pool. Members that cannot be part of a complete chain get no share. */
 export function createPlan(members: readonly PoolMember[], options: PlanOptions): CapacityPlan {
   const groups = createGroups(members, options);
   const full = solvePlan(groups, groups.map(getGroupRate), options);
   for (const step of SPREAD_STEPS) {
     const spread = solvePlan(groups, spreadRates(groups, full.groupFlows, step), options);
-    if (spread.total >= ENOUGH_FLOW * full.total) {
+    if (spread.total >= MIN_FLOW_SHARE * full.total) {
       return buildPlan(groups, spread, options);
     }
   }
@@ -30,14 +30,14 @@
 
 function createGroups(members: readonly PoolMember[], options: PlanOptions): readonly PlanGroup[] {
   const zones = createZones(members, options);
-  const byPlace = new Map<string, PoolMember[]>();
+  const byZoneAndLayers = new Map<string, PoolMember[]>();
   for (const member of members) {
     const { first, end } = member.holding.layers;
     const zone = zones.get(member.facts.rack) ?? member.facts.rack;
     const key = `${first}-${end}@${zone}`;
-    byPlace.set(key, [...(byPlace.get(key) ?? []), member]);
+    byZoneAndLayers.set(key, [...(byZoneAndLayers.get(key) ?? []), member]);
   }
-  return [...byPlace.values()].map((group) => {
+  return [...byZoneAndLayers.values()].map((group) => {
     const { facts, holding } = group[0] as PoolMember;
     let sum = 0;
     const cumulativeRates = group.map((member) => {
@@ -56,8 +56,9 @@
 }
 
 /**
- * Rates that leave no more room than the flow of each layer range needs. A max-flow alone may fill some
- * engines and leave their peers idle where there are more than enough; requests would wait there.
+ * Limits the rates of each layer range to what its flow needs, plus the fraction `step` of the rest. Where
+ * there is spare capacity, a max-flow alone may saturate some engines and leave their peers idle, and
+ * requests would queue at the saturated ones.
  */
 function spreadRates(
   groups: readonly PlanGroup[],
@@ -66,15 +67,15 @@
 ): readonly number[] {
   const rateOf = new Map<string, number>();
   const flowOf = new Map<string, number>();
-  const name = ({ first, end }: PlanGroup) => `${first}-${end}`;
+  const getRangeKey = ({ first, end }: PlanGroup) => `${first}-${end}`;
   groups.forEach((group, i) => {
-    const key = name(group);
+    const key = getRangeKey(group);
     rateOf.set(key, (rateOf.get(key) ?? 0) + getGroupRate(group));
     flowOf.set(key, (flowOf.get(key) ?? 0) + (flows[i] ?? 0));
   });
   return groups.map((group) => {
-    const key = name(group);
-    const used = (flowOf.get(key) ?? 0) / (rateOf.get(key) ?? 1);
-    return getGroupRate(group) * (used + (1 - used) * step);
+    const key = getRangeKey(group);
+    const utilization = (flowOf.get(key) ?? 0) / (rateOf.get(key) ?? 1);
+    return getGroupRate(group) * (utilization + (1 - utilization) * step);
   });
 }
--- a/packages/routing/src/RoutingPlanHops.ts
+++ b/packages/routing/src/RoutingPlanHops.ts
@@ -1,4 +1,4 @@
-/** Turns a solved flow into hops to draw from: from each place, the next groups with their shares. */
+/** Converts a solved flow into weighted hops: from each zone at each layer, the next groups with their shares. */
 import { UNLIMITED_LINK } from './RoutingLinks.js';
 import type {
   CapacityPlan,
@@ -10,7 +10,6 @@
 import { getHopKey } from './RoutingPlanTypes.js';
 import type { SolvedPlan } from './RoutingPlanSolve.js';
 
-/** Turns flows into hops to draw from. */
 export function buildPlan(
   groups: readonly PlanGroup[],
   solved: SolvedPlan,
@@ -37,24 +36,28 @@
   return { layerCount, tokensPerSecond: solved.total, firstHops: sumHops(starts), hops };
 }
 
-interface WeighedHop {
+interface WeightedHop {
   readonly hop: PlanHop;
   readonly flow: number;
 }
 
-/** Ways out of a zone at a boundary: what stays in it, and what each link carries. */
+/** Hops out of a zone at a layer boundary: the flow that stays in the zone, and the flow on each link. */
 function selectHops(
   solved: SolvedPlan,
   entering: ReadonlyMap<string, readonly { group: PlanGroup; flow: number }[]>,
   at: number,
   zone: string,
-): readonly WeighedHop[] {
+): readonly WeightedHop[] {
   const leaving = solved.links.filter((link) => link.at === at && link.from === zone);
   const arriving = solved.links.filter((link) => link.at === at && link.toZone === zone);
-  const here = entering.get(getHopKey(at, zone)) ?? [];
-  const taken = here.reduce((sum, { flow }) => sum + flow, 0);
-  const fromOthers = arriving.reduce((sum, { flow }) => sum + flow, 0);
-  const staying = { toZone: zone, link: UNLIMITED_LINK, flow: Math.max(0, taken - fromOthers) };
+  const groupsHere = entering.get(getHopKey(at, zone)) ?? [];
+  const enteringFlow = groupsHere.reduce((sum, { flow }) => sum + flow, 0);
+  const arrivingFlow = arriving.reduce((sum, { flow }) => sum + flow, 0);
+  const staying = {
+    toZone: zone,
+    link: UNLIMITED_LINK,
+    flow: Math.max(0, enteringFlow - arrivingFlow),
+  };
   return [staying, ...leaving].flatMap(({ toZone, link, flow }) => {
     const next = entering.get(getHopKey(at, toZone)) ?? [];
     const total = next.reduce((sum, entry) => sum + entry.flow, 0);
@@ -65,8 +68,8 @@
   });
 }
 
-function sumHops(weighed: readonly WeighedHop[]): PlanHops {
-  const used = weighed.filter(({ flow }) => flow > 0);
+function sumHops(weighted: readonly WeightedHop[]): PlanHops {
+  const used = weighted.filter(({ flow }) => flow > 0);
   let sum = 0;
   const sums = used.map(({ flow }) => {
     sum += flow;
--- a/packages/routing/src/RoutingPlanSolve.ts
+++ b/packages/routing/src/RoutingPlanSolve.ts
@@ -1,4 +1,4 @@
-/** Solves a capacity plan's flow: places between layers are nodes, groups and links are arcs. */
+/** Solves the flow of a capacity plan: nodes are zones at layer boundaries, arcs are groups and links. */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { FlowGraph } from './RoutingFlow.js';
 import { createFlowGraph } from './RoutingFlow.js';
@@ -7,7 +7,7 @@
 import { getHopKey } from './RoutingPlanTypes.js';
 import { getLinkRate } from './RoutingZones.js';
 
-/** A link at one boundary between layers. */
+/** A link at one layer boundary. */
 export interface LinkArc {
   readonly arc: number;
   readonly from: string;
@@ -18,20 +18,20 @@
 }
 
 export interface SolvedPlan {
-  /** Tokens a second. */
+  /** Tokens per second. */
   readonly total: number;
   readonly groupFlows: readonly number[];
   readonly links: readonly (LinkArc & { readonly flow: number })[];
 }
 
-/** Links slower than this are used only for what the others cannot carry. */
+/** Links on which the data of a token takes longer are used only for load that the others cannot carry. */
 const SLOW_TRANSFER_MS = 0.2;
-const LINK_ROUNDS = 3;
-const OVERFILLED = 1.01;
+const MAX_LINK_ROUNDS = 3;
+const OVERLOAD_TOLERANCE = 1.01;
 const SOURCE = 0;
 const SINK = 1;
 
-/** The largest flow through groups of these rates, with every link within its rate. */
+/** Maximum flow through groups of these rates, with every link within its rate. */
 export function solvePlan(
   groups: readonly PlanGroup[],
   rates: readonly number[],
@@ -39,8 +39,8 @@
 ): SolvedPlan {
   let shares: ReadonlyMap<string, number> = new Map();
   let solved = solveOnce(groups, rates, options, shares);
-  for (let round = 0; round < LINK_ROUNDS; round++) {
-    const next = narrowLinks(solved, shares, options);
+  for (let round = 0; round < MAX_LINK_ROUNDS; round++) {
+    const next = reduceOverloadedLinks(solved, shares, options);
     if (!next) {
       break;
     }
@@ -51,10 +51,10 @@
 }
 
 /**
- * A link is an arc at each boundary between layers, and its rate must do for all of them together:
- * gives the factor by which to narrow each arc of a link that is filled beyond its rate.
+ * A link is an arc at each layer boundary, and its rate is shared by all of them: returns the factor that
+ * scales down the arcs of each overloaded link, or null if no link is overloaded.
  */
-function narrowLinks(
+function reduceOverloadedLinks(
   solved: SolvedPlan,
   shares: ReadonlyMap<string, number>,
   options: PlanOptions,
@@ -65,14 +65,14 @@
       used.set(link.key, { link, flow: (used.get(link.key)?.flow ?? 0) + flow });
     }
   });
-  const narrowed = [...used].filter(
-    ([, { link, flow }]) => flow > OVERFILLED * getLinkRate(link, options),
+  const overloaded = [...used].filter(
+    ([, { link, flow }]) => flow > OVERLOAD_TOLERANCE * getLinkRate(link, options),
   );
-  if (narrowed.length === 0) {
+  if (overloaded.length === 0) {
     return null;
   }
   const next = new Map(shares);
-  narrowed.forEach(([key, { link, flow }]) => {
+  overloaded.forEach(([key, { link, flow }]) => {
     next.set(key, ((shares.get(key) ?? 1) * getLinkRate(link, options)) / flow);
   });
   return next;
@@ -84,27 +84,27 @@
   options: PlanOptions,
   linkShares: ReadonlyMap<string, number>,
 ): SolvedPlan {
-  const nodes = createNodeNumbers();
-  const places = new Map(groups.map(({ zone, members }) => [zone, members[0]?.facts]));
+  const getNode = createNodeNumbering();
+  const zones = new Map(groups.map(({ zone, members }) => [zone, members[0]?.facts]));
   const boundaries = new Set(groups.map(({ end }) => end));
   boundaries.delete(options.layerCount);
-  const graph = createFlowGraph(2 + 2 * (boundaries.size + 2) * places.size + 2 * groups.length);
+  const graph = createFlowGraph(2 + 2 * (boundaries.size + 2) * zones.size + 2 * groups.length);
   const groupArcs = groups.map((group, i) =>
-    addGroup(graph, nodes, group, rates[i] ?? 0, options.layerCount),
+    addGroup(graph, getNode, group, rates[i] ?? 0, options.layerCount),
   );
   const links: LinkArc[] = [];
   for (const at of boundaries) {
-    for (const [from, fromFacts] of places) {
-      graph.addArc(nodes(`out ${getHopKey(at, from)}`), nodes(getHopKey(at, from)), Infinity);
-      for (const [toZone, toFacts] of places) {
+    for (const [from, fromFacts] of zones) {
+      graph.addArc(getNode(`out ${getHopKey(at, from)}`), getNode(getHopKey(at, from)), Infinity);
+      for (const [toZone, toFacts] of zones) {
         if (toZone !== from && fromFacts && toFacts) {
           const link = options.getLink(fromFacts, toFacts);
           const share = link.key === null ? 1 : (linkShares.get(link.key) ?? 1);
           const capacity = getLinkRate(link, options) * share;
-          const out = nodes(`out ${getHopKey(at, from)}`);
-          // Slow links open only after the fast ones are full.
-          const open = isSlow(link, options) ? 0 : capacity;
-          const arc = graph.addArc(out, nodes(getHopKey(at, toZone)), open);
+          const out = getNode(`out ${getHopKey(at, from)}`);
+          // Slow links get their capacity only after the flow through fast links is at its maximum.
+          const initialCapacity = isSlowLink(link, options) ? 0 : capacity;
+          const arc = graph.addArc(out, getNode(getHopKey(at, toZone)), initialCapacity);
           links.push({ arc, from, toZone, at, link, capacity });
         }
       }
@@ -120,23 +120,23 @@
   };
 }
 
-function isSlow(link: LinkCost, options: PlanOptions): boolean {
+function isSlowLink(link: LinkCost, options: PlanOptions): boolean {
   return (MILLIS_PER_SECOND * options.bytesPerToken) / link.bytesPerSecond > SLOW_TRANSFER_MS;
 }
 
 function addGroup(
   graph: FlowGraph,
-  nodes: (name: string) => number,
+  getNode: (name: string) => number,
   { zone, first, end }: PlanGroup,
   rate: number,
   layerCount: number,
 ): number {
-  const from = first === 0 ? SOURCE : nodes(getHopKey(first, zone));
-  const to = end === layerCount ? SINK : nodes(`out ${getHopKey(end, zone)}`);
+  const from = first === 0 ? SOURCE : getNode(getHopKey(first, zone));
+  const to = end === layerCount ? SINK : getNode(`out ${getHopKey(end, zone)}`);
   return graph.addArc(from, to, rate);
 }
 
-function createNodeNumbers(): (name: string) => number {
+function createNodeNumbering(): (name: string) => number {
   const numbers = new Map<string, number>();
   return (name) => {
     const known = numbers.get(name);
--- a/packages/routing/src/RoutingPlanTypes.ts
+++ b/packages/routing/src/RoutingPlanTypes.ts
@@ -1,4 +1,4 @@
-/** What a capacity plan is made of: groups of engines, hops between them, and what the planner needs. */
+/** Types of capacity plans: groups of engines, hops between them, and options of the planner. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { LinkCost } from './RoutingLinks.js';
 import type { PoolMember } from './RoutingPools.js';
@@ -9,17 +9,17 @@
   readonly first: number;
   readonly end: number;
   readonly members: readonly PoolMember[];
-  /** Sums of the members' rates, for drawing one by its rate. */
+  /** Cumulative rates of the members, for a random draw weighted by rate. */
   readonly cumulativeRates: readonly number[];
 }
 
-/** A way from one group to the next one, with its share of the flow. */
+/** A step to the next group, and the link that it crosses. */
 export interface PlanHop {
   readonly group: PlanGroup;
   readonly link: LinkCost;
 }
 
-/** Hops with the sums of their shares, for drawing one by its share. */
+/** Hops with their cumulative flows, for a random draw weighted by flow. */
 export interface PlanHops {
   readonly hops: readonly PlanHop[];
   readonly cumulativeFlows: readonly number[];
@@ -35,19 +35,19 @@
 
 export interface PlanOptions {
   readonly layerCount: number;
-  /** Bytes that cross a link for each generated token, with its part of the prompt. */
+  /** Bytes that cross a link per generated token, including its part of the prompt. */
   readonly bytesPerToken: number;
-  /** Engine time for each generated token, in ms. */
+  /** Engine time per generated token, in ms. */
   readonly getTokenCost: (member: PoolMember) => number;
   readonly getLink: (from: EngineFacts, to: EngineFacts) => LinkCost;
 }
 
-/** Name of the place where a chain stands between two stages. */
+/** Key of a zone at a layer boundary, between two stages of a chain. */
 export function getHopKey(layer: number, zone: string): string {
   return `${layer}@${zone}`;
 }
 
-/** Tokens a second of a whole group. */
+/** Tokens per second of all members of a group. */
 export function getGroupRate(group: PlanGroup): number {
   return group.cumulativeRates.at(-1) ?? 0;
 }
--- a/packages/routing/src/RoutingPlans.ts
+++ b/packages/routing/src/RoutingPlans.ts
@@ -8,15 +8,15 @@
 import { getPromptTokensPerToken, getTokenCost } from './RoutingScore.js';
 import type { PlannedPool, RoutingState } from './RoutingTypes.js';
 
-/** Change of the mix of prompt and answer that is worth a new plan. */
-const MIX_CHANGE = 0.2;
+/** Relative change of the workload mix that requires a new plan. */
+const MIX_CHANGE_THRESHOLD = 0.2;
 const DEFAULT_ACTIVATION_BYTES = 16384;
-/** Reports come every half second; one that lacks so many has stopped. */
+/** Engines report every half second; one without a report for so long is considered silent. */
 const SILENT_MS = 5000;
 
 /**
- * Plans the pools whose engines, links or mix have changed since their plan was made; the others keep
- * theirs. To be called now and then, and soon after a change.
+ * Plans the pools whose engines, links or workload mix have changed since their last plan. Call it
+ * periodically, and soon after a change.
  */
 export function refreshPlans(state: RoutingState, now: Millis): RoutingState {
   const silent = new Set([...state.pools.values()].flatMap((pool) => listSilent(state, pool)));
@@ -51,7 +51,7 @@
     known.pool === pool &&
     known.links === state.links &&
     known.excluded === excluded.join() &&
-    change <= MIX_CHANGE * known.promptTokensPerToken
+    change <= MIX_CHANGE_THRESHOLD * known.promptTokensPerToken
   );
 }
 
@@ -64,8 +64,8 @@
 }
 
 /**
- * Engines whose last report is far older than the newest of their pool. If all reports stop, the fault
- * is on their way to us, and none is taken for silent.
+ * Engines whose last report is far older than the newest report in their pool. If all reports stop, the
+ * fault is on the path to this instance, and no engine is considered silent.
  */
 function listSilent(state: RoutingState, pool: Pool): readonly EngineId[] {
   const seen = pool.members.map(({ id }) => ({ id, at: state.loads.get(id)?.seenAt ?? -Infinity }));
@@ -80,8 +80,8 @@
 function planPool(state: RoutingState, pool: Pool, excluded: readonly string[]): PlannedPool {
   const { activationBytes = DEFAULT_ACTIVATION_BYTES } = state.models.get(pool.model) ?? {};
   const promptTokensPerToken = getPromptTokensPerToken(state);
-  const out = new Set(excluded);
-  const members = pool.members.filter(({ id }) => !out.has(id));
+  const excludedIds = new Set(excluded);
+  const members = pool.members.filter(({ id }) => !excludedIds.has(id));
   const plan = createPlan(members, {
     layerCount: Math.max(0, ...members.map(({ holding }) => holding.layers.end)),
     bytesPerToken: activationBytes * (1 + promptTokensPerToken),
--- a/packages/routing/src/RoutingPools.ts
+++ b/packages/routing/src/RoutingPools.ts
@@ -1,4 +1,4 @@
-/** Pools: the engines of one failure domain that hold layers of one version of a model. */
+/** Pools: the engines of one failure domain that hold layers of one model version. */
 import type { ModelVariant } from '@skylarksail/core/CoreChain';
 import type { EngineFacts, Holding } from '@skylarksail/core/CoreEngine';
 import { EngineDuty } from '@skylarksail/core/CoreEngine';
@@ -21,12 +21,12 @@
 
 export type PoolIndex = ReadonlyMap<string, Pool>;
 
-/** Name of the pool that serves a version of a model in a domain. */
+/** Key of the pool that serves a model version in a domain. */
 export function getPoolKey(model: ModelId, version: VersionId, domain: DomainId): string {
   return `${model}/${version}/${domain}`;
 }
 
-/** The pool of a variant in a domain, if any engine there holds a part of it. */
+/** The pool of a variant in a domain, if any engine there holds part of it. */
 export function getPool(
   pools: PoolIndex,
   variant: ModelVariant,
@@ -35,7 +35,7 @@
   return pools.get(getPoolKey(variant.model, variant.version, domain));
 }
 
-/** Moves an engine to the pool of what it now holds; null takes it out. Other pools stay as they are. */
+/** Moves an engine to the pool of its present holding, or removes it if `after` is null. */
 export function moveMember(
   pools: PoolIndex,
   before: PoolMember | null,
@@ -52,7 +52,7 @@
 }
 
 function removeMember(pools: Map<string, Pool>, member: PoolMember): void {
-  const key = keyOf(member);
+  const key = getMemberKey(member);
   const pool = pools.get(key);
   const members = pool?.members.filter(({ id }) => id !== member.id) ?? [];
   if (!pool || members.length === 0) {
@@ -63,12 +63,12 @@
 }
 
 function addMember(pools: Map<string, Pool>, member: PoolMember): void {
-  const key = keyOf(member);
+  const key = getMemberKey(member);
   const members = [...(pools.get(key)?.members ?? []), member];
   const { model, version } = member.holding;
   pools.set(key, { key, domain: member.facts.domain, model, version, members });
 }
 
-function keyOf({ facts, holding }: PoolMember): string {
+function getMemberKey({ facts, holding }: PoolMember): string {
   return getPoolKey(holding.model, holding.version, facts.domain);
 }
--- a/packages/routing/src/RoutingPrefixes.ts
+++ b/packages/routing/src/RoutingPrefixes.ts
@@ -1,6 +1,6 @@
 /**
- * Where prompt prefixes are expected to be cached: learned from own calls and from cache events, which
- * come late and with gaps. A sighting is an expectation that fades, never a fact.
+ * Expected locations of cached prompt prefixes, learned from own calls and from cache events, which may be
+ * late or missing. An observation is therefore only an estimate that decays over time.
  */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { BucketMap } from './RoutingBucketMap.js';
@@ -12,7 +12,7 @@
   readonly tokens: number;
 }
 
-/** An engine that had a prefix in its cache, in the process of that boot id. */
+/** An engine whose process with this boot ID had a prefix in its cache. */
 export interface PrefixObservation {
   readonly engine: EngineId;
   readonly bootId: string | null;
@@ -21,24 +21,24 @@
 
 export type PrefixTable = BucketMap<readonly PrefixObservation[]>;
 
-/** Age at which a sighting has lost two thirds of its worth. */
-const FADING_MS = 60000;
-const SIGHTINGS_KEPT = 48;
+/** Time constant of the exponential decay: at this age an observation has lost two thirds of its weight. */
+const DECAY_MS = 60000;
+const MAX_OBSERVATIONS = 48;
 const PREFIXES_PER_BUCKET = 32;
 
-/** Takes in that engines have a prefix in their cache. */
+/** Records that engines have a prefix in their cache. */
 export function addPrefixObservations(
   prefixes: PrefixTable,
   key: string,
-  sightings: readonly PrefixObservation[],
+  observations: readonly PrefixObservation[],
 ): PrefixTable {
   const known = getEntry(prefixes, key) ?? [];
-  const others = known.filter(({ engine }) => !sightings.some((s) => s.engine === engine));
-  const kept = [...others, ...sightings].slice(-SIGHTINGS_KEPT);
+  const others = known.filter(({ engine }) => !observations.some((s) => s.engine === engine));
+  const kept = [...others, ...observations].slice(-MAX_OBSERVATIONS);
   return withEntry(prefixes, key, kept, PREFIXES_PER_BUCKET);
 }
 
-/** Expected tokens of the prompt that an engine need not compute. */
+/** Expected number of prompt tokens that an engine has cached. */
 export function estimateCachedTokens(
   prefixes: PrefixTable,
   keys: readonly PrefixKey[],
@@ -48,9 +48,9 @@
 ): number {
   let best = 0;
   for (const { key, tokens } of keys) {
-    const sighting = getEntry(prefixes, key)?.find((s) => s.engine === engine);
-    if (sighting && sighting.bootId === bootId) {
-      best = Math.max(best, tokens * Math.exp(-Math.max(0, now - sighting.seenAt) / FADING_MS));
+    const observation = getEntry(prefixes, key)?.find((s) => s.engine === engine);
+    if (observation && observation.bootId === bootId) {
+      best = Math.max(best, tokens * Math.exp(-Math.max(0, now - observation.seenAt) / DECAY_MS));
     }
   }
   return best;
--- a/packages/routing/src/RoutingRepair.ts
+++ b/packages/routing/src/RoutingRepair.ts
@@ -1,4 +1,4 @@
-/** Replaces the failed stages of a running request's chain, or the whole chain where that fails. */
+/** Replaces the failed stages of a running request's chain, or the whole chain if that fails. */
 import type { Chain, Stage } from '@skylarksail/core/CoreChain';
 import { formatChain } from '@skylarksail/core/CoreChain';
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
@@ -16,32 +16,32 @@
   readonly chain: Chain;
   /** Whether the stages that still work were kept. */
   readonly kind: 'stages' | 'whole';
-  /** Stages that the old chain does not have; they must prefill or import the KV cache. */
+  /** Stages that are not in the old chain; they must prefill or import the KV cache. */
   readonly newStages: readonly Stage[];
   readonly candidates: readonly ChainCandidate[];
   readonly crossedDomain: boolean;
 }
 
-/** A chain with its failed stages replaced, and what it is expected to cost. */
+/** A chain with its failed stages replaced, and its expected cost. */
 interface Repair {
   readonly choice: RepairChoice;
   readonly gap: Millis;
-  /** Time until its new stages have read the prompt. */
+  /** Time until its new stages have prefilled the prompt. */
   readonly wait: Millis;
 }
 
 /**
- * Wait for a repair's first token beyond which a whole chain elsewhere is looked for. When a rack is lost,
- * the one engine left of its layers gets the prompts of all its answers, one behind the other.
+ * Maximum wait for the prefill of a repair; if it is longer, a whole new chain is considered. After the loss of a
+ * rack, the one remaining engine for its layers would prefill the prompts of all its answers one after another.
  */
-const PATIENCE_MS = 300;
-/** Replacements that are drawn and weighed against each other. */
+const MAX_REPAIR_WAIT_MS = 300;
+/** Number of random replacements that are compared. */
 const CANDIDATE_COUNT = 3;
 
 /**
- * A chain without the failed engines that keeps every other stage if it can. Engines that are full are
- * passed over only if a whole new chain can be had: work that runs goes before work that waits.
- * A chain whose new stages have many prompts to read is passed over for a whole one that is sooner.
+ * Selects a chain without the failed engines that keeps all other stages if possible. A repair on full engines
+ * is rejected only if a whole new chain is available: running work has precedence over waiting work. A repair
+ * whose new stages have many prompts to prefill is rejected if a whole new chain has a shorter wait.
  */
 export function selectRepair(
   state: RoutingState,
@@ -53,13 +53,13 @@
   const avoidEngines = new Set([...ask.avoidEngines, ...failedEngines]);
   const repair = repairStages(state, chain, { ...ask, avoidEngines }, random);
   const isFull = repair !== null && repair.gap > getGapLimit(state, ask.priority);
-  if (repair && !isFull && repair.wait <= PATIENCE_MS) {
+  if (repair && !isFull && repair.wait <= MAX_REPAIR_WAIT_MS) {
     return createOk(repair.choice);
   }
-  // Without the engines that are crowded, another domain is asked if this one has no others.
-  const crowded = repair && !isFull ? repair.choice.newStages.map(({ engine }) => engine) : [];
-  const others = { ...ask, avoidEngines: new Set([...avoidEngines, ...crowded]) };
-  const whole = selectChain(state, others, random);
+  // Excluding the busy engines lets the selection move to another domain if this one has no others.
+  const busyEngines = repair && !isFull ? repair.choice.newStages.map(({ engine }) => engine) : [];
+  const wholeChainAsk = { ...ask, avoidEngines: new Set([...avoidEngines, ...busyEngines]) };
+  const whole = selectChain(state, wholeChainAsk, random);
   if (!whole.ok) {
     return repair ? createOk(repair.choice) : whole;
   }
@@ -70,35 +70,35 @@
   return createOk({ ...whole.value, kind: 'whole', newStages });
 }
 
-/** Time until the slowest of these stages has read the prompts that it has of us, and this one. */
+/** Time until the slowest of these stages has prefilled its expected queue of prompts and this one. */
 function estimateWait(state: RoutingState, ask: ChainQuery, stages: readonly Stage[]): Millis {
   const waits = stages.map(({ engine, layers }) => {
     const speed = state.engines.get(engine)?.prefillLayerTokensPerSecond ?? Infinity;
-    const ahead = getOwnWork(state, engine).prefillTokens * state.tuning.instanceCount;
-    const work = (ahead + ask.promptTokens) * (layers.end - layers.first);
+    const queuedTokens = getOwnWork(state, engine).prefillTokens * state.tuning.instanceCount;
+    const work = (queuedTokens + ask.promptTokens) * (layers.end - layers.first);
     return (work * MILLIS_PER_SECOND) / speed;
   });
   return Math.max(0, ...waits);
 }
 
-/** The best of few ways to replace what failed, or null if the layers cannot be covered. */
+/** Selects the best of a few random replacements of the failed stages, or null if the layers cannot be covered. */
 function repairStages(
   state: RoutingState,
   chain: Chain,
   ask: ChainQuery,
   random: Random,
 ): Repair | null {
-  const found: (ChainScore & { readonly chain: Chain; readonly wait: Millis })[] = [];
+  const repairs: (ChainScore & { readonly chain: Chain; readonly wait: Millis })[] = [];
   for (let i = 0; i < CANDIDATE_COUNT; i++) {
     const repaired = replaceStages(state, chain, ask, random);
     if (!repaired) {
       return null;
     }
     const wait = estimateWait(state, ask, selectNewStages(chain, repaired));
-    found.push({ chain: repaired, wait, ...scoreChain(state, ask, repaired) });
+    repairs.push({ chain: repaired, wait, ...scoreChain(state, ask, repaired) });
   }
-  const best = found.reduce((a, b) => (b.finish + b.wait < a.finish + a.wait ? b : a));
-  const candidates = found.map((scored) => ({
+  const best = repairs.reduce((a, b) => (b.finish + b.wait < a.finish + a.wait ? b : a));
+  const candidates = repairs.map((scored) => ({
     chain: formatChain(scored.chain),
     score: scored.finish,
     reason: scored === best ? 'least expected finish' : 'later expected finish',
@@ -128,12 +128,12 @@
       stages.push(stage);
       continue;
     }
-    // A chain that runs in another domain stays there: mixing domains would send each token across.
+    // A chain in another domain stays there: with mixed domains, each token would cross between them.
     const domain = state.engines.get(stage.engine)?.domain ?? ask.domain;
-    const free = selectMembers(state, ask, domain).filter(({ id }) => !used.has(id));
+    const unused = selectMembers(state, ask, domain).filter(({ id }) => !used.has(id));
     const facts = state.engines.get(stages.at(-1)?.engine ?? '');
     const kept = facts ? { facts } : null;
-    const cover = coverLayers(free, stage.layers, (options, previous) =>
+    const cover = coverLayers(unused, stage.layers, (options, previous) =>
       pickOfTwo(state, ask, options, previous ?? kept, random),
     );
     if (!cover) {
@@ -146,9 +146,10 @@
 }
 
 /**
- * Whether a stage's engine is still there with its layers. An engine that was unregistered or ordered to
- * hold others since the chain was chosen cannot be kept, even if nothing was said of a failure. Nor can one
- * that leaves: the repaired chain is new work to it, which it got 3.5 s after it had said that it leaves.
+ * Whether a stage's engine is still registered and holds its layers. An engine that was unregistered or ordered
+ * to hold other layers since the chain was selected cannot be kept, even without a reported failure. Nor can a
+ * leaving engine, since the repaired chain is new work to it: without this check, an engine received new work
+ * 3.5 s after it announced that it was leaving.
  */
 function canKeep(state: RoutingState, { engine, layers }: Stage): boolean {
   if (state.leaving.has(engine)) {
--- a/packages/routing/src/RoutingState.ts
+++ b/packages/routing/src/RoutingState.ts
@@ -1,4 +1,4 @@
-/** All that routing knows, as one immutable value, and the pure functions that update it. */
+/** The routing state as one immutable value, and the pure functions that update it. */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { EngineFacts, Holding, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
@@ -20,13 +20,13 @@
   recordTokenGap,
 } from './RoutingCalls.js';
 
-/** Weight of the expected mix of prompt and answer before calls have shown theirs, in tokens. */
+/** Weight of the configured workload mix relative to observed calls, in answer tokens. */
 const PRIOR_MIX_TOKENS = 1000;
-/** Engines first heard of within this time after the first report were there before us. */
-const SETTLING_MS = 5000;
+/** An engine whose first report arrives within this time after the first of all was running before this instance. */
+const DISCOVERY_MS = 5000;
 
 export function createRoutingState(tuning: Partial<RoutingTuning> = {}): RoutingState {
-  const whole = { ...DEFAULT_TUNING, ...tuning };
+  const fullTuning = { ...DEFAULT_TUNING, ...tuning };
   return {
     engines: new Map(),
     models: new Map(),
@@ -48,14 +48,14 @@
     hops: new Map(),
     hopPrompts: createBucketMap(),
     mix: {
-      promptTokens: whole.promptTokensPerToken * PRIOR_MIX_TOKENS,
+      promptTokens: fullTuning.promptTokensPerToken * PRIOR_MIX_TOKENS,
       answerTokens: PRIOR_MIX_TOKENS,
     },
-    tuning: whole,
+    tuning: fullTuning,
   };
 }
 
-/** Sets the engines that exist, from the instance list and the manifest. */
+/** Sets the known engines, from the instance list and the manifest. */
 export function setEngines(state: RoutingState, facts: readonly EngineFacts[]): RoutingState {
   if (
     facts.length === state.engines.size &&
@@ -80,7 +80,7 @@
   return { ...state, engines, pools, loads, leaving };
 }
 
-/** Sets what the manifest says of models, links, regions and limits. */
+/** Sets models, links, regions and limits from the manifest. */
 export function setRoutingFacts(
   state: RoutingState,
   facts: Partial<Pick<RoutingState, 'models' | 'links' | 'regions' | 'tuning'>>,
@@ -88,12 +88,12 @@
   return { ...state, ...facts };
 }
 
-/** Takes in a load report; one older than the known one changes nothing. */
+/** Records a load report; a report older than the latest one is ignored. */
 export function setLoad(state: RoutingState, seen: SeenEngineLoad): RoutingState {
   return setLoads(state, [seen]);
 }
 
-/** Takes in many reports, which costs little more than one: what is known of all engines is copied once. */
+/** Records several load reports for little more than the cost of one: the map of all engines is copied once. */
 export function setLoads(state: RoutingState, reports: readonly SeenEngineLoad[]): RoutingState {
   const loads = new Map(state.loads);
   const firstLoadAt = state.firstLoadAt ?? reports[0]?.seenAt ?? null;
@@ -104,7 +104,7 @@
   });
 }
 
-/** Adds a report to `loads`, which nobody else holds yet, and to what hangs on it. */
+/** Adds a report to `loads`, a copy that is not shared yet, and updates pools and health. */
 function addLoad(
   state: RoutingState,
   loads: Map<EngineId, KnownLoad>,
@@ -123,12 +123,12 @@
   const pools = isSameHolding(before, holding)
     ? state.pools
     : moveMember(state.pools, toMember(facts, before), toMember(facts, holding));
-  const moved = pools === state.pools ? state : { ...state, pools };
-  const next = noteBoot(moved, id, bootId, seen.seenAt);
+  const withPools = pools === state.pools ? state : { ...state, pools };
+  const next = updateBoot(withPools, id, bootId, seen.seenAt);
   return seen.load.state === LifeState.Leaving ? markLeaving(next, id) : next;
 }
 
-/** Gives an engine no new work from now on, by whichever signal came first. */
+/** Excludes an engine from new work, on the first signal that it is leaving. */
 export function markLeaving(state: RoutingState, engine: EngineId): RoutingState {
   if (state.leaving.has(engine)) {
     return state;
@@ -136,7 +136,7 @@
   return { ...state, leaving: new Set(state.leaving).add(engine) };
 }
 
-/** Says whether a domain can be reached. After a cut it lends again step by step. */
+/** Sets whether a domain is reachable. After a partition its cross-domain limit ramps up. */
 export function setDomainReach(
   state: RoutingState,
   domain: DomainId,
@@ -150,7 +150,7 @@
   return { ...state, domains: new Map(state.domains).set(domain, { reachable, since: now }) };
 }
 
-/** Takes in a cache event: an engine said that it has cached a prefix. */
+/** Records a cache event: an engine has cached a prefix. */
 export function recordPrefix(
   state: RoutingState,
   engine: EngineId,
@@ -162,15 +162,15 @@
   return { ...state, prefixes };
 }
 
-/** A new process behind an engine's name: it is no longer leaving, and starts slowly. */
-function noteBoot(state: RoutingState, id: EngineId, bootId: string, now: Millis): RoutingState {
+/** Records the boot ID of an engine: a new process is no longer leaving and begins a slow start. */
+function updateBoot(state: RoutingState, id: EngineId, bootId: string, now: Millis): RoutingState {
   const before = getHealth(state, id);
   if (before.bootId === bootId) {
     return state;
   }
   const booted = recordBoot(before, bootId, now);
-  const joined = before.bootId === null && now - (state.firstLoadAt ?? now) > SETTLING_MS;
-  const next = setHealth(state, id, joined ? beginSlowStart(booted, now) : booted);
+  const isLateJoiner = before.bootId === null && now - (state.firstLoadAt ?? now) > DISCOVERY_MS;
+  const next = setHealth(state, id, isLateJoiner ? beginSlowStart(booted, now) : booted);
   if (before.bootId === null || !state.leaving.has(id)) {
     return next;
   }
--- a/packages/routing/src/RoutingTuning.ts
+++ b/packages/routing/src/RoutingTuning.ts
@@ -1,22 +1,22 @@
-/** Settings of routing that come from the manifest and from the count of instances. */
+/** Parameters of routing, in part from the manifest and the number of instances. */
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 
 export interface RoutingTuning {
-  /** Own failure domain; calls elsewhere count as crossing. Null counts none. */
+  /** Own failure domain; calls in other domains are counted as cross-domain calls. Null counts none. */
   readonly domain: DomainId | null;
-  /** Time between tokens that a chain is filled up to. */
+  /** Target time between tokens, up to which chains are loaded. */
   readonly tokenGapMs: Millis;
-  /** Prompt tokens to prefill for each generated token, until calls have shown it. */
+  /** Initial estimate of the prompt tokens to prefill per generated token. */
   readonly promptTokensPerToken: number;
-  /** Entry instances of the own domain, which share its engines. */
+  /** Number of entry instances in the own domain, which share its engines. */
   readonly instanceCount: number;
-  /** Entry instances of all other domains, which share what a domain lends. */
+  /** Number of entry instances in all other domains, which share a domain's cross-domain capacity. */
   readonly foreignInstanceCount: number;
-  /** Share of a domain's capacity that may be lent to other domains. */
+  /** Share of a domain's capacity that other domains may use. */
   readonly crossDomainShare: number;
-  /** Whether the own domain is kept off too when a whole chain there stays silent, if others serve. */
+  /** Whether the own domain is avoided too after a chain there timed out without output, if others can serve. */
   readonly isOwnDoubted: boolean;
-  /** Time for which a domain is kept off after a chain there stayed silent. */
+  /** Time for which a domain is avoided after a chain there timed out without output. */
   readonly doubtTime: Millis;
 }
 
--- a/packages/routing/src/RoutingTypes.ts
+++ b/packages/routing/src/RoutingTypes.ts
@@ -1,4 +1,4 @@
-/** The types of routing's state. */
+/** Types of the routing state. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineFacts, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
 import type { DomainId, EngineId, Millis, ModelId, RegionId } from '@skylarksail/core/CoreTypes';
@@ -12,47 +12,47 @@
 import type { BucketMap } from './RoutingBucketMap.js';
 import type { RoutingTuning } from './RoutingTuning.js';
 
-/** Work that this instance itself has on an engine. */
+/** Work that this instance has on an engine. */
 export interface OwnWork {
   readonly calls: number;
-  /** Tokens that its calls are expected to hold in the KV cache. */
+  /** Tokens that its calls are expected to occupy in the KV cache. */
   readonly kvTokens: number;
-  /** Prompt tokens of calls that have not yet given a first token. */
+  /** Prompt tokens of calls that have not produced a first token yet. */
   readonly prefillTokens: number;
 }
 
-/** The latest load report, with our own work on the engine when it came. */
+/** The latest load report, with the own work on the engine at the time it arrived. */
 export interface KnownLoad extends SeenEngineLoad {
   readonly own: OwnWork;
-  /** Pool that the engine is in, or null if it holds nothing. */
+  /** Pool of the engine, or null if it holds no layers. */
   readonly poolKey: string | null;
-  /** Our own calls in the whole pool at that time. */
+  /** Own calls in the whole pool at that time. */
   readonly ownPoolCalls: number;
 }
 
-/** Facts of a model that routing needs. */
+/** Properties of a model that routing needs. */
 export interface RoutedModel {
   readonly id: ModelId;
   /**
-   * Mean tokens of its answers, where they are known. Answers are mostly far shorter than callers allow: with
-   * memory reckoned for all of that, requests are turned away by engines that have room for them.
+   * Mean number of answer tokens, if known. Answers are mostly far shorter than callers allow: if memory were
+   * reserved for the maximum, requests would be refused although engines have room for them.
    */
   readonly usualAnswerTokens?: number;
   readonly activationBytes: number;
 }
 
-/** The plan of a pool, with what it was made from. */
+/** The plan of a pool, with its inputs. */
 export interface PlannedPool {
   readonly pool: Pool;
   readonly links: readonly LinkFacts[];
-  /** Engines that were not to be used when it was made. */
+  /** IDs of the engines that were excluded from it, joined by commas. */
   readonly excluded: string;
-  /** Mix of prompt and answer that it was made for. */
+  /** Workload mix that it was computed for. */
   readonly promptTokensPerToken: number;
   readonly plan: CapacityPlan;
 }
 
-/** What calls have shown of the mix of prompt and answer, with older calls fading. */
+/** Observed workload mix of prompt and answer tokens; older calls decay. */
 export interface WorkMix {
   readonly promptTokens: number;
   readonly answerTokens: number;
@@ -62,53 +62,53 @@
   readonly engines: ReadonlyMap<EngineId, EngineFacts>;
   readonly models: ReadonlyMap<ModelId, RoutedModel>;
   readonly loads: ReadonlyMap<EngineId, KnownLoad>;
-  /** When the first report was made; what appears much later has joined a running fleet. */
+  /** Time of the first load report; an engine that appears much later has joined a running fleet. */
   readonly firstLoadAt: Millis | null;
   readonly leaving: ReadonlySet<EngineId>;
-  /** Engines whose reports stopped while their peers' go on. */
+  /** Engines whose reports stopped while their peers' reports continue. */
   readonly silent: ReadonlySet<EngineId>;
   readonly links: readonly LinkFacts[];
   readonly regions: ReadonlyMap<DomainId, RegionId>;
   readonly domains: ReadonlyMap<DomainId, DomainReach>;
-  /** Other domains of which nothing came over a whole chain: until when we keep off them. */
+  /** Domains where a chain timed out without output, with the time until which they are avoided. */
   readonly suspected: ReadonlyMap<DomainId, Millis>;
   readonly own: BucketMap<OwnWork>;
   readonly health: BucketMap<EngineHealth>;
   readonly prefixes: PrefixTable;
   readonly pools: PoolIndex;
   readonly plans: ReadonlyMap<string, PlannedPool>;
-  /** Own calls by pool. */
+  /** Number of own calls by pool. */
   readonly poolCalls: ReadonlyMap<string, number>;
-  /** Own calls in other domains. */
+  /** Number of own calls in other domains. */
   readonly crossDomainCalls: ReadonlyMap<DomainId, number>;
-  /** Hops between racks that were late lately, and prompts of ours that cross any hop now. */
+  /** Hops between racks with recent late streams, and the number of own prompts that are crossing each hop. */
   readonly hops: ReadonlyMap<string, HopHealth>;
   readonly hopPrompts: BucketMap<number>;
   readonly mix: WorkMix;
   readonly tuning: RoutingTuning;
 }
 
-/** A call that runs on a chain, as it was recorded at its start. */
+/** A call on a chain, as recorded at its start. */
 export interface RoutedCall {
   readonly chain: Chain;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** Tokens of the answer for which memory is reckoned, where fewer than all. */
+  /** Answer tokens for which memory is reserved, if fewer than `maxTokens`. */
   readonly answerTokens?: number;
-  /** Prefixes that the engines will have cached, and the tokens that were expected to be. */
+  /** Prefixes that the engines will cache, and the prompt tokens that were expected to be cached. */
   readonly prefixKeys?: readonly PrefixKey[];
   readonly cachedTokens?: number;
 }
 
-/** How a call ended, for the health of its engines. */
+/** Outcome of a call, for the health of its engines. */
 export type CallOutcome =
   | {
       readonly kind: 'answered';
       readonly firstTokenMs: Millis;
       readonly tokenGapMs: Millis | null;
-      /** Tokens of the answer, if known. */
+      /** Number of answer tokens, if known. */
       readonly tokens?: number;
     }
-  /** `isSilent`: nothing came over any engine of the chain, though others went on. */
+  /** `isSilent`: the chain timed out without output from any engine, while other calls continued. */
   | { readonly kind: 'failed'; readonly engine: EngineId | null; readonly isSilent?: boolean }
   | { readonly kind: 'cancelled' };
--- a/packages/routing/src/RoutingWalk.ts
+++ b/packages/routing/src/RoutingWalk.ts
@@ -1,4 +1,4 @@
-/** Draws a chain from a capacity plan: at each hop few engines by their share, of which the best. */
+/** Draws a chain from a capacity plan by a random walk: at each hop the best of a few engines drawn by share. */
 import type { Stage } from '@skylarksail/core/CoreChain';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { EngineId } from '@skylarksail/core/CoreTypes';
@@ -6,7 +6,7 @@
 import { getHopKey } from './RoutingPlanTypes.js';
 import type { PoolMember } from './RoutingPools.js';
 
-/** An engine that a walk may take next. */
+/** An engine that the walk may take next. */
 export interface WalkOption {
   readonly member: PoolMember;
   readonly hop: PlanHop;
@@ -14,16 +14,16 @@
   readonly previous: PoolMember | null;
 }
 
-/** Engines that are drawn at each hop. More balance better, fewer keep instances from herding. */
-const DRAWS = 8;
+/** Engines drawn at each hop. More draws balance load better; fewer prevent herding of instances on one engine. */
+const DRAWS_PER_HOP = 8;
 
 /**
- * One chain, or null if the walk ran into engines that `weigh` all gives Infinity. `weigh` says what an
- * option costs; the least is taken.
+ * Draws the stages of a chain, taking the option with the lowest `getCost` at each hop. Null if the cost of
+ * all drawn options of a hop is Infinity.
  */
 export function walkPlan(
   plan: CapacityPlan,
-  weigh: (option: WalkOption) => number,
+  getCost: (option: WalkOption) => number,
   random: Random,
 ): readonly Stage[] | null {
   const stages: Stage[] = [];
@@ -31,7 +31,7 @@
   let hops: PlanHops | undefined = plan.firstHops;
   let previous: PoolMember | null = null;
   while (hops) {
-    const best: WalkOption | null = drawBest(hops, previous, used, weigh, random);
+    const best: WalkOption | null = drawBest(hops, previous, used, getCost, random);
     if (!best) {
       return null;
     }
@@ -51,18 +51,18 @@
   hops: PlanHops,
   previous: PoolMember | null,
   used: ReadonlySet<EngineId>,
-  weigh: (option: WalkOption) => number,
+  getCost: (option: WalkOption) => number,
   random: Random,
 ): WalkOption | null {
   let best: WalkOption | null = null;
-  let least = Infinity;
-  for (let i = 0; i < DRAWS; i++) {
+  let leastCost = Infinity;
+  for (let i = 0; i < DRAWS_PER_HOP; i++) {
     const hop = hops.hops[drawIndex(hops.cumulativeFlows, random)];
     const member = hop?.group.members[drawIndex(hop.group.cumulativeRates, random)];
     if (hop && member && !used.has(member.id)) {
-      const weight = weigh({ member, hop, previous });
-      if (weight < least) {
-        least = weight;
+      const cost = getCost({ member, hop, previous });
+      if (cost < leastCost) {
+        leastCost = cost;
         best = { member, hop, previous };
       }
     }
@@ -70,7 +70,7 @@
   return best;
 }
 
-/** Draws an index by the steps between rising sums. */
+/** Draws an index weighted by the differences of cumulative sums. */
 function drawIndex(sums: readonly number[], random: Random): number {
   const draw = random.nextFloat() * (sums.at(-1) ?? 0);
   let low = 0;
--- a/packages/routing/src/RoutingZones.ts
+++ b/packages/routing/src/RoutingZones.ts
@@ -1,8 +1,8 @@
 /**
- * Zones: racks of the same kinds of accelerators, between which links are so fast that they never limit
- * the flow. A plan treats a zone as one place. Without zones, links grow with the square of the racks, and with
- * them the time of a plan. Racks of unlike kinds stay apart because chains of like engines keep their batches
- * together.
+ * Zones: racks with the same kinds of accelerators whose links are fast enough never to limit the flow. A plan
+ * treats a zone as one location. Without zones, the number of links and the planning time grow with the square
+ * of the number of racks. Racks with different kinds are separate because chains of engines of one kind keep
+ * their batches together.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
@@ -10,23 +10,23 @@
 import type { PlanOptions } from './RoutingPlanTypes.js';
 import type { PoolMember } from './RoutingPools.js';
 
-/** Share of a link's rate that a plan fills; beyond it, tokens wait behind prompts. */
-const LINK_FILL = 0.5;
+/** Share of a link's rate that a plan uses; above it, tokens queue behind prompts. */
+const MAX_LINK_UTILIZATION = 0.5;
 
 interface RackFacts {
   readonly rack: string;
   readonly facts: EngineFacts;
   readonly kinds: ReadonlySet<string>;
-  /** Tokens a second of all its engines together. */
+  /** Total rate of its engines, in tokens per ms. */
   readonly rate: number;
 }
 
-/** Tokens a second that a plan may send over a link. */
+/** Tokens per second that a plan may send over a link. */
 export function getLinkRate(link: LinkCost, options: PlanOptions): number {
-  return (LINK_FILL * link.bytesPerSecond) / options.bytesPerToken;
+  return (MAX_LINK_UTILIZATION * link.bytesPerSecond) / options.bytesPerToken;
 }
 
-/** The zone of each rack, named after its first rack. */
+/** Zone of each rack; a zone is named after its first rack. */
 export function createZones(
   members: readonly PoolMember[],
   options: PlanOptions,
@@ -35,7 +35,9 @@
   const names = new Map<string, string>();
   for (const rack of sumRacks(members, options)) {
     const zone = zones.find((racks) =>
-      racks.every((other) => isAlike(rack, other) && isFree(rack, other, options)),
+      racks.every(
+        (other) => hasSameAccelerators(rack, other) && hasAmpleLinks(rack, other, options),
+      ),
     );
     if (zone) {
       zone.push(rack);
@@ -58,12 +60,12 @@
   return [...racks.values()];
 }
 
-function isAlike(a: RackFacts, b: RackFacts): boolean {
+function hasSameAccelerators(a: RackFacts, b: RackFacts): boolean {
   return a.kinds.size === b.kinds.size && [...a.kinds].every((kind) => b.kinds.has(kind));
 }
 
-/** Whether the links between two racks could carry all that either of them can do. */
-function isFree(a: RackFacts, b: RackFacts, options: PlanOptions): boolean {
+/** Whether the links between two racks in both directions can carry the full rate of either rack. */
+function hasAmpleLinks(a: RackFacts, b: RackFacts, options: PlanOptions): boolean {
   const needed = MILLIS_PER_SECOND * Math.max(a.rate, b.rate);
   return (
     getLinkRate(options.getLink(a.facts, b.facts), options) >= needed &&
--- a/packages/routing/src/__tests__/unit/RoutingFixtures.ts
+++ b/packages/routing/src/__tests__/unit/RoutingFixtures.ts
@@ -1,4 +1,4 @@
-/** Engines, asks and loads for the tests of routing. */
+/** Engines, queries and load reports for the tests of routing. */
 import type { EngineFacts, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
 import type { ChainQuery } from '../../RoutingChoice.js';
 import type { RoutingState } from '../../RoutingState.js';
@@ -7,7 +7,7 @@
 export const VARIANT = { model: 'notes', version: 'v1', adapter: null };
 export const LAYERS = 20;
 
-/** An engine `id` of a rack and a domain that decodes `speed` layers times tokens a second. */
+/** An engine that decodes `speed` layers times tokens per second. */
 export function createFacts(
   id: string,
   { domain = 'a', rack = 'a1', speed = 20000 } = {},
@@ -47,7 +47,7 @@
   };
 }
 
-/** A state with these engines, each holding its range. */
+/** A state with these engines, each holding its range of layers. */
 export function createFilledState(
   engines: readonly { facts: EngineFacts; layers: readonly [number, number] }[],
 ): RoutingState {
--- a/packages/routing/src/__tests__/unit/RoutingFlow.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingFlow.test.ts
@@ -10,8 +10,8 @@
 
 const NODES = 6;
 
-/** The smallest cut, by trying every set of nodes on the source's side. */
-function findSmallestCut(arcs: readonly TestArc[]): number {
+/** Capacity of the minimum cut, by brute force over all sets of nodes on the source's side. */
+function findMinimumCut(arcs: readonly TestArc[]): number {
   let least = Infinity;
   for (let side = 0; side < 2 ** NODES; side++) {
     const isInside = (node: number) => Math.floor(side / 2 ** node) % 2 === 1;
@@ -27,19 +27,19 @@
 }
 
 describe('RoutingFlow', () => {
-  it('reaches the smallest cut, also when capacity is added later', () => {
+  it('finds a flow equal to the minimum cut, also if capacity is added later', () => {
     const node = fc.nat(NODES - 1);
     const arc = fc.record({ from: node, to: node, capacity: fc.nat(20) });
     fc.assert(
-      fc.property(fc.array(arc, { maxLength: 16 }), fc.nat(16), (arcs, late) => {
+      fc.property(fc.array(arc, { maxLength: 16 }), fc.nat(16), (arcs, lateStart) => {
         const graph = createFlowGraph(NODES);
         const numbers = arcs.map(({ from, to, capacity }, i) =>
-          graph.addArc(from, to, i < late ? capacity : 0),
+          graph.addArc(from, to, i < lateStart ? capacity : 0),
         );
         let total = graph.augment(0, 1);
         arcs.forEach(({ capacity }, i) => graph.setCapacity(numbers[i] ?? 0, capacity));
         total += graph.augment(0, 1);
-        expect(total).to.equal(findSmallestCut(arcs));
+        expect(total).to.equal(findMinimumCut(arcs));
         arcs.forEach(({ capacity }, i) =>
           expect(graph.getFlow(numbers[i] ?? 0)).to.be.within(0, capacity),
         );
--- a/packages/routing/src/__tests__/unit/RoutingPlans.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingPlans.test.ts
@@ -7,7 +7,7 @@
 import { setLoad, setRoutingFacts } from '../../RoutingState.js';
 import { createQuery, createFacts, createFilledState, createSeenLoad } from './RoutingFixtures.js';
 
-/** How often each engine is in a chain of `count` choices that leave no trace. */
+/** How often each engine is in a chain over `count` selections, none of which is recorded as a call. */
 function countChoices(state: RoutingState, count: number): ReadonlyMap<EngineId, number> {
   const random = createRandom(3);
   const counts = new Map<EngineId, number>();
@@ -21,10 +21,9 @@
 }
 
 describe('RoutingPlans', () => {
-  // Symptom: half of all tokens crossed the slow link of a rack although both racks were complete.
-  // Sequence: the second stage was chosen by load alone, and the slow link's rack looked as free.
-  // Cause: links took no part in the shares.
-  it('keeps chains within racks behind a slow link', () => {
+  // Guards against shares that ignore links: if the second stage is selected by load alone, half of all tokens
+  // cross the slow link although each rack can serve complete chains.
+  it('keeps chains within a rack if the link between racks is slow', () => {
     const engines = ['r1', 'r2'].flatMap((rack) => [
       { facts: createFacts(`${rack}-x`, { rack }), layers: [0, 10] as const },
       { facts: createFacts(`${rack}-y`, { rack }), layers: [10, 20] as const },
@@ -39,10 +38,9 @@
     }
   });
 
-  // Symptom: of two equal engines with more than enough capacity one idled and one made requests wait.
-  // Sequence: the first stage limits the flow; the second stage's engines can carry twice as much.
-  // Cause: a max-flow may put all of its flow on one of them.
-  it('spreads the work of a stage that has more than enough', () => {
+  // The first stage limits the flow; the second stage's engines can carry twice as much. Guards against a max-flow
+  // that puts all load on one of two equal engines: requests would wait there while the other idles.
+  it('spreads the load of a stage with spare capacity', () => {
     const state = refreshPlans(
       createFilledState([
         { facts: createFacts('narrow'), layers: [0, 10] },
@@ -56,17 +54,17 @@
     expect(counts.get('wide2')).to.be.within(60, 140);
   });
 
-  it('leaves out engines whose reports stopped, unless all have stopped', () => {
+  it('excludes engines whose reports stopped, unless all reports stopped', () => {
     const engines = ['a', 'b', 'c'].map((id) => ({
       facts: createFacts(id),
       layers: [0, 20] as const,
     }));
     const start = createFilledState(engines);
-    const alive = ['a', 'b'].reduce(
+    const partlyReporting = ['a', 'b'].reduce(
       (state, id) => setLoad(state, createSeenLoad(id, [0, 20], { seenAt: 6000 })),
       start,
     );
-    expect([...countChoices(refreshPlans(alive, 6000), 60).keys()].sort()).to.deep.equal([
+    expect([...countChoices(refreshPlans(partlyReporting, 6000), 60).keys()].sort()).to.deep.equal([
       'a',
       'b',
     ]);
--- a/packages/routing/src/__tests__/unit/RoutingRepair.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingRepair.test.ts
@@ -22,16 +22,15 @@
     { engine: 'b', layers: { first: 10, end: 20 } },
   ]);
   if (!chain.ok) {
-    throw new Error('the stages form a chain');
+    throw new Error('expected the stages to form a chain');
   }
   return chain.value;
 }
 
 describe('RoutingRepair', () => {
-  it('replaces a stage whose engine is gone or holds other layers, though nobody named it', () => {
-    // Symptom: a process ended with "a chosen engine is known", and with it every answer that it ran.
-    // Sequence: engine b is unregistered while a chain runs on it; then stage a of that chain fails.
-    // Cause: stages that nobody named as failed were kept without a look at what their engines hold.
+  it('replaces a stage whose engine is gone or holds other layers, even if it was not reported as failed', () => {
+    // Guards against keeping stages without checking their engines: engine b is unregistered while a chain runs on
+    // it, then stage a fails. The broken invariant would end the process and all its answers.
     const state = createFilledState([
       { facts: createFacts('a2'), layers: [0, 10] },
       { facts: createFacts('b2'), layers: [10, 20] },
@@ -49,20 +48,19 @@
       { facts: createFacts('b'), layers: [0, 10] },
       { facts: createFacts('b2'), layers: [10, 20] },
     ]);
-    const recut = selectRepair(
+    const afterMove = selectRepair(
       moved,
       createTestChain(),
       new Set(['a']),
       createQuery(),
       createRandom(1),
     );
-    expect(recut.ok && formatChain(recut.value.chain)).to.match(/ > b2\[10-20\)$/);
+    expect(afterMove.ok && formatChain(afterMove.value.chain)).to.match(/ > b2\[10-20\)$/);
   });
 
-  it('keeps no stage on an engine that leaves: to it the repaired chain is new work', () => {
-    // Symptom: a request reaches an engine 3.5 s after that had said that it leaves.
-    // Sequence: an answer runs on a and b; a says that it leaves; then b falls silent and is replaced.
-    // Cause: a was kept as it had not failed, and the rest of the answer was sent to it as a new call.
+  it('keeps no stage on a leaving engine, since the repaired chain is new work to it', () => {
+    // An answer runs on a and b; a announces that it is leaving, then b fails and is replaced. If a is kept because
+    // it has not failed, it receives the rest of the answer as a new call, 3.5 s after its announcement.
     const state = createFilledState([
       { facts: createFacts('a'), layers: [0, 10] },
       { facts: createFacts('a2'), layers: [0, 10] },
@@ -79,10 +77,9 @@
     expect(repair.ok && formatChain(repair.value.chain)).to.equal('a2[0-10) > b2[10-20)');
   });
 
-  // Symptom: an answer whose second stage died was prefilled anew on every stage.
-  // Sequence: stage b dies; no single engine holds its layers, two small ones together do.
-  // Cause: only one-for-one replacements were looked for.
-  it('replaces only the failed stage, by several engines if need be', () => {
+  // Stage b fails; no single engine holds its layers, but two smaller ones together do. Guards against one-for-one
+  // replacement only, which would prefill the prompt again on all stages.
+  it('replaces only the failed stage, by several engines if necessary', () => {
     const state = createFilledState([
       { facts: createFacts('a'), layers: [0, 10] },
       { facts: createFacts('b'), layers: [10, 20] },
@@ -104,7 +101,7 @@
     ]);
   });
 
-  it('falls back to a whole new chain if only a kept engine holds the lost layers', () => {
+  it('falls back to a whole new chain if only a remaining engine of the chain holds the lost layers', () => {
     const state = createFilledState([
       { facts: createFacts('a'), layers: [0, 10] },
       { facts: createFacts('b'), layers: [0, 20] },
@@ -120,10 +117,9 @@
     expect(repair.ok && formatChain(repair.value.chain)).to.equal('b[0-20)');
   });
 
-  // Symptom: after a repair each token of an answer crossed between domains twice.
-  // Sequence: a chain runs in domain b, lent to a caller of a; its second stage dies there.
-  // Cause: the replacement was looked for in the domain of the caller.
-  it('replaces a stage in the domain where the chain runs, and passes over a full engine', () => {
+  // A chain runs in domain b for a caller in domain a, and its second stage fails. Guards against a replacement in
+  // the caller's domain, with which each token would cross between the domains twice.
+  it('replaces a stage in the domain where the chain runs, and avoids a full engine', () => {
     const state = createFilledState([
       { facts: createFacts('a', { domain: 'b' }), layers: [0, 10] },
       { facts: createFacts('b', { domain: 'b' }), layers: [10, 20] },
@@ -143,7 +139,7 @@
     expect(repair.ok && repair.value.crossedDomain).to.equal(true);
   });
 
-  /** The domain `a` with a slow engine `s` beside `b`, and a domain `z` that lends. */
+  /** Domain `a` with a slow engine `s` as the alternative to `b`, and domain `z` with cross-domain capacity. */
   function createTwoDomains() {
     const state = createFilledState([
       { facts: createFacts('a'), layers: [0, 10] },
@@ -156,11 +152,10 @@
     return refreshPlans(setRoutingFacts(state, { tuning }), 0);
   }
 
-  it('does not send all answers of a lost rack to the one engine that is left', () => {
-    // Symptom: after the loss of a rack half of its answers stand still for two seconds.
-    // Sequence: the rack held the last layers but for one slow engine; all answers are repaired at once,
-    // each with that engine, which reads their prompts one behind the other.
-    // Cause: a repair was taken if its engine had room, however many prompts it had yet to read.
+  it('does not send all answers of a lost rack to the only remaining engine', () => {
+    // One slow engine outside the lost rack holds the last layers, and all answers are repaired at once. Guards
+    // against repairs that ignore queued prompts: that engine would prefill them one after another, and half of
+    // the answers would stall for two seconds.
     const start = createTwoDomains();
     const ask = createQuery({ isBegun: true });
     let state = start;
@@ -168,7 +163,7 @@
     for (let i = 0; i < 16; i++) {
       const repair = selectRepair(state, createTestChain(), new Set(['b']), ask, createRandom(i));
       if (!repair.ok) {
-        throw new Error('there is a repair');
+        throw new Error('expected a repair');
       }
       const { chain } = repair.value;
       engines.push(chain.stages[1]?.engine ?? '');
@@ -178,13 +173,12 @@
     expect(engines.filter((engine) => engine === 'z')).to.have.length.above(3);
   });
 
-  it('keeps a part of what another domain lends for begun answers, and a bound on it', () => {
-    // Symptom: answers of low priority that lost their rack wait until others have ended.
-    // Sequence: new requests have filled what they may of the lent share; a begun answer asks.
-    // Cause: begun answers had the same part as new requests of their priority.
+  it('reserves a bounded part of the cross-domain limit for interrupted answers', () => {
+    // New requests have used their part of the cross-domain limit. Guards against the same limit for interrupted
+    // answers: those of low priority that lost their rack would wait until other calls end.
     let state = createTwoDomains();
     const avoidEngines = new Set(['b', 's']);
-    const fill = (isBegun: boolean): number => {
+    const countAccepted = (isBegun: boolean): number => {
       const ask = createQuery({ priority: 'low', avoidEngines, isBegun });
       for (let count = 0; ; count++) {
         const choice = selectChain(state, ask, createRandom(count));
@@ -195,58 +189,59 @@
         state = recordCallStart(state, call);
       }
     };
-    const counts = [fill(false), fill(true)];
+    const counts = [countAccepted(false), countAccepted(true)];
     expect(counts[0]).to.be.above(0);
     expect(counts[1]).to.be.within(counts[0] ?? 0, 2 * (counts[0] ?? 0));
   });
 
-  it('keeps off another domain after a chain there stayed silent, until it gives a token', () => {
-    // Symptom: after a cut each request tries the lost domain for itself, again and again.
-    // Sequence: a chain in z gives nothing, while others go on; membership tells of the cut 2 s later.
-    // Cause: a failure that is laid to no single engine was forgotten.
+  it('avoids another domain after a chain there timed out without output, until a token arrives', () => {
+    // A chain in z produces no output while others do; membership reports the partition only 2 s later. Guards
+    // against ignoring a failure without a known engine: until then each request would try z again.
     const avoidEngines = new Set(['b', 's']);
     const choose = (from: RoutingState, now: number) =>
       selectChain(from, createQuery({ avoidEngines, now }), createRandom(1));
     const start = createTwoDomains();
     const choice = choose(start, 0);
     if (!choice.ok) {
-      throw new Error('z lends');
+      throw new Error('expected a chain in domain z');
     }
     const call = { chain: choice.value.chain, promptTokens: 100, maxTokens: 50 };
     const outcome = { kind: 'failed', engine: null, isSilent: true } as const;
     const running = recordCallStart(recordCallStart(start, call), call);
-    const doubting = recordCallEnd(running, call, outcome, false, 0);
-    expect([choose(doubting, 1900).ok, choose(doubting, 2100).ok]).to.deep.equal([false, true]);
-    expect(choose(recordFirstToken(doubting, call, 100), 200).ok).to.equal(true);
+    const suspecting = recordCallEnd(running, call, outcome, false, 0);
+    expect([choose(suspecting, 1900).ok, choose(suspecting, 2100).ok]).to.deep.equal([false, true]);
+    expect(choose(recordFirstToken(suspecting, call, 100), 200).ok).to.equal(true);
   });
 
-  it('keeps off the own domain too where it has one chain, and takes it if no other serves', () => {
-    // Symptom: for seconds each new request waits for a chain of which one engine is dead.
-    // Sequence: the only chain of the own domain falls silent; the dead engine's entry stands on.
-    // Cause: only other domains were doubted, since the own one had spare engines.
+  it('avoids the own domain too if so configured, but uses it if no other domain can serve', () => {
+    // The only chain of the own domain times out without output, and the failed engine is still registered. Guards
+    // against suspecting only other domains: for seconds, new requests would wait for the failed chain.
     const tuning = { isOwnDoubted: true, doubtTime: 4000 };
     const before = createTwoDomains();
     const start = setRoutingFacts(before, { tuning: { ...before.tuning, ...tuning } });
-    const domainOf = (from: RoutingState, now: number, avoid: readonly string[] = []) => {
+    const getChosenDomain = (from: RoutingState, now: number, avoid: readonly string[] = []) => {
       const ask = createQuery({ now, avoidEngines: new Set(avoid) });
       const choice = selectChain(from, ask, createRandom(1));
       return choice.ok
         ? from.engines.get(choice.value.chain.stages[0]?.engine ?? '')?.domain
         : null;
     };
-    expect(domainOf(start, 0)).to.equal('a');
+    expect(getChosenDomain(start, 0)).to.equal('a');
     const choice = selectChain(start, createQuery(), createRandom(1));
     if (!choice.ok) {
-      throw new Error('a serves');
+      throw new Error('expected a chain in domain a');
     }
     const call = { chain: choice.value.chain, promptTokens: 100, maxTokens: 50 };
     const silent = { kind: 'failed', engine: null, isSilent: true } as const;
-    const doubting = recordCallEnd(recordCallStart(start, call), call, silent, false, 0);
-    expect([domainOf(doubting, 3900), domainOf(doubting, 4100)]).to.deep.equal(['z', 'a']);
+    const suspecting = recordCallEnd(recordCallStart(start, call), call, silent, false, 0);
+    expect([getChosenDomain(suspecting, 3900), getChosenDomain(suspecting, 4100)]).to.deep.equal([
+      'z',
+      'a',
+    ]);
     const others = [...start.engines.values()].filter(({ domain }) => domain === 'z');
     expect(
-      domainOf(
-        doubting,
+      getChosenDomain(
+        suspecting,
         100,
         others.map(({ id }) => id),
       ),
