--- a/packages/requests/src/AttemptRunner.ts
+++ b/packages/requests/src/AttemptRunner.ts
@@ -1,4 +1,4 @@
-/** Holds the open attempt of a model request: chooses its chain, opens its call, and closes it. */
+/** Runs the attempts of a model request: chooses a chain, opens the call, and closes it. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import type { RequestEffect, RequestEvent } from './RequestMessages.js';
@@ -12,7 +12,6 @@
 
 type EffectOf<K extends RequestEffect['kind']> = Extract<RequestEffect, { kind: K }>;
 
-/** An attempt that was opened. */
 interface OpenAttempt {
   readonly chain: Chain;
   readonly contextTokens: number;
@@ -20,40 +19,39 @@
   readonly cancel: Unregister;
 }
 
-/** What a chain is looked for with. */
+/** Constraints of a search for a chain. */
 export interface ChainSearch extends Pick<EffectOf<'choose'>, 'broken' | 'failed' | 'avoid'> {
-  /** By when the answer must begin; null if there is no such time. */
+  /** Time by which the answer must begin; null if there is none. */
   readonly beginBy: Millis | null;
 }
 
-/** What a search for a chain has found. */
 interface SearchResult {
   readonly choice: ChainChoice;
-  /** Whether there are chains, and it would begin at none in time. */
+  /** Whether there are chains, but the answer would begin at none of them in time. */
   readonly isTooLate: boolean;
 }
 
-/** Long queues that a search passes by: each takes another search, and the next ones are as long. */
-const MOST_QUEUES = 4;
+/** Maximum number of long queues that a search skips: each takes another search, and later ones are likely as long. */
+const MAX_LONG_QUEUES = 4;
 const ALL_FULL: ChainChoice = { kind: 'none', isFull: true, retryAfter: 0 };
 
 /** The attempts of one request, one at a time. */
 export interface AttemptRunner {
-  /** Whether there is a chain now; takes nothing. */
+  /** Whether there is a chain now; reserves nothing. */
   canChoose(search: ChainSearch): boolean;
-  /** Asks for a chain; the answer comes as an event. Returns whether there is one. */
+  /** Chooses a chain and sends the result as an event. Returns whether there is one. */
   choose(search: ChainSearch): boolean;
   open(effect: EffectOf<'open'>): void;
   close(outcome: AttemptOutcome): void;
-  /** Takes in the attempt's first token, `wait` after it was opened. */
+  /** Records the attempt's first token, `wait` after the attempt was opened. */
   noteFirstToken(wait: Millis): void;
   getChain(): Chain | null;
-  /** Head of the present attempt's answer, if it has one. */
+  /** Head of the present attempt's answer, or null. */
   getHead(): AnswerHead | null;
   getEngines(): readonly EngineId[];
 }
 
-/** Creates the runner of a request's attempts. `tokens` is the answer so far, kept by its owner. */
+/** Creates the runner of a request's attempts. `tokens` is the answer so far; the caller appends to it. */
 export function createAttemptRunner(
   shared: RouterShared,
   spec: RequestSpec,
@@ -66,7 +64,7 @@
   let current: OpenAttempt | null = null;
   let hold: ChainHold | null = null;
   let head: { readonly attempt: number; readonly value: AnswerHead } | null = null;
-  let opened = 0;
+  let lastAttempt = 0;
 
   function createListener(attempt: number, openedAt: Millis): EngineCallListener {
     return {
@@ -84,21 +82,23 @@
     };
   }
 
-  function chooseSpread(choose: (others: readonly EngineId[]) => ChainChoice): ChainChoice {
-    const [first = [], ...others] = listAvoidSets(shared, fingerprint);
+  function chooseWithAvoidSets(
+    choose: (avoidSet: readonly EngineId[]) => ChainChoice,
+  ): ChainChoice {
+    const [firstSet = [], ...others] = listAvoidSets(shared, fingerprint);
     return others.reduce(
-      (choice, next) => (choice.kind === 'none' ? choose(next) : choice),
-      choose(first),
+      (choice, avoidSet) => (choice.kind === 'none' ? choose(avoidSet) : choice),
+      choose(firstSet),
     );
   }
 
   function select({ broken, failed, avoid }: ChainSearch): ChainChoice {
     const contextTokens = promptTokens + tokens.length;
-    return chooseSpread((others) => {
+    return chooseWithAvoidSets((avoidSet) => {
       const isBegun = tokens.length > 0;
-      const wish = { spec, contextTokens, isBegun, avoid: [...new Set([...avoid, ...others])] };
+      const wish = { spec, contextTokens, isBegun, avoid: [...new Set([...avoid, ...avoidSet])] };
       const engines = broken?.stages.map((stage) => stage.engine) ?? [];
-      // Stages that other requests have lost meanwhile are replaced in the same stroke.
+      // Also replaces stages that other requests have lost in the meantime.
       const lost = engines.filter((id) => failed.includes(id) || wish.avoid.includes(id));
       return broken !== null && lost.length < engines.length
         ? deps.chooseRepair({ ...wish, broken, failed: lost })
@@ -110,17 +110,17 @@
     return beginBy !== null && isQueueTooLong(shared, engine, spec.priority, beginBy);
   }
 
-  /** The same, past first engines whose queues are too long; `isTooLate` if only such were found. */
+  /** Selects a chain whose first engine has no long queue; `isTooLate` if only chains with long queues were found. */
   function selectInTime(search: ChainSearch): SearchResult {
-    const passed: EngineId[] = [];
-    while (passed.length < MOST_QUEUES) {
-      const choice = select({ ...search, avoid: [...search.avoid, ...passed] });
+    const skipped: EngineId[] = [];
+    while (skipped.length < MAX_LONG_QUEUES) {
+      const choice = select({ ...search, avoid: [...search.avoid, ...skipped] });
       const [first] = choice.kind === 'chain' ? choice.chain.stages : [];
       if (choice.kind === 'none' || !first || !hasLongQueue(first.engine, search.beginBy)) {
-        return { choice, isTooLate: choice.kind === 'none' && passed.length > 0 };
+        return { choice, isTooLate: choice.kind === 'none' && skipped.length > 0 };
       }
       choice.hold.release({ kind: 'cancelled' });
-      passed.push(first.engine);
+      skipped.push(first.engine);
     }
     return { choice: ALL_FULL, isTooLate: true };
   }
@@ -148,7 +148,7 @@
     },
     open({ attempt, chain, importFrom }) {
       const now = deps.timers.now();
-      opened = attempt;
+      lastAttempt = attempt;
       const cancel = deps.openEngineCall(
         {
           request: spec.id,
@@ -169,7 +169,7 @@
       current = { chain, contextTokens, isImported: importFrom.length > 0, cancel };
     },
     close(outcome) {
-      // An attempt that has ended by itself takes the cancellation as nothing.
+      // Cancelling an attempt that has already ended has no effect.
       current?.cancel();
       current = null;
       hold?.release(outcome);
@@ -182,7 +182,7 @@
       }
     },
     getChain: () => current?.chain ?? null,
-    getHead: () => (head?.attempt === opened ? head.value : null),
+    getHead: () => (head?.attempt === lastAttempt ? head.value : null),
     getEngines: () => current?.chain.stages.map((stage) => stage.engine) ?? [],
   };
 }
--- a/packages/requests/src/ClaimRunner.ts
+++ b/packages/requests/src/ClaimRunner.ts
@@ -1,4 +1,4 @@
-/** Claims the key of a request before anything of it is sent, and records how the request ended. */
+/** Claims a request's idempotency key before anything is sent, and records how the request ended. */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import { RunState } from '@skylarksail/core/CoreConstants';
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
@@ -8,8 +8,8 @@
 import type { RequestProblem } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 
-/** Whose key is claimed, and for what content. */
-export interface KeyedWork {
+/** A request with an idempotency key, and the fingerprint of its content. */
+export interface KeyedRequest {
   readonly id: RequestId;
   readonly team: TeamId;
   readonly key: string;
@@ -17,45 +17,45 @@
   readonly deadline: Millis;
 }
 
-/** Hears of the claim: exactly one of the three, once, unless the hold was ended before. */
+/** Receives the outcome of a claim: exactly one call, or none if the claim was ended first. */
 export interface ClaimListener {
   readonly onGranted: () => void;
   readonly onReplayed: (answer: string) => void;
   readonly onRefused: (problem: RequestProblem) => void;
 }
 
-/** A claim that was asked for. Ended once, by `settle` or `end`. */
+/** A claim in progress or granted. Only the first call of `settle` or `end` has an effect. */
 export interface ClaimHandle {
   settle(record: ClaimRecord): void;
-  /** The request ended without an answer; a claim of work that never ran is given back. */
+  /** Ends the claim of a request without an answer; a claim for work that never ran is released. */
   end(run: RunStateName): void;
 }
 
-/** Asks for the key, again while an earlier request with it is running. */
+/** Claims the key, and retries while an earlier request with the same key is running. */
 export function claimKey(
   shared: RouterShared,
-  work: KeyedWork,
+  work: KeyedRequest,
   listener: ClaimListener,
 ): ClaimHandle {
   const { claims, timers } = shared.deps;
   let token: string | null = null;
   let isEnded = false;
 
-  function ask(): void {
+  function sendClaim(): void {
     const timeLeft = work.deadline - timers.now();
     const { team, key, fingerprint, id: request } = work;
     claims
       .claim({ team, key, fingerprint, request, timeLeft })
-      // Nothing was sent, whatever became of the claim.
+      // Nothing was sent to an engine, so `unavailable` is correct even if the claim was recorded.
       .catch((): ClaimOutcome => ({ kind: 'unavailable', retryAfter: RUNNING_RETRY_DELAY }))
-      .then((outcome) => shared.post(() => take(outcome)));
+      .then((outcome) => shared.post(() => onOutcome(outcome)));
   }
 
-  function take(outcome: ClaimOutcome): void {
+  function onOutcome(outcome: ClaimOutcome): void {
     if (isEnded) {
       if (outcome.kind === 'granted') {
-        // The request was given up while its claim was under way. A claim that nobody holds would
-        // tell a resend "unknown" of work that never ran.
+        // The request ended while its claim was in progress. An orphaned claim would make a resend
+        // fail with an unknown outcome although nothing ran.
         claims.release(outcome.token);
       }
       return;
@@ -73,7 +73,7 @@
         if (work.deadline - timers.now() > 2 * RUNNING_RETRY_DELAY) {
           timers.registerTimeout(RUNNING_RETRY_DELAY, () => {
             if (!isEnded) {
-              ask();
+              sendClaim();
             }
           });
         } else {
@@ -95,7 +95,7 @@
     isEnded = true;
   }
 
-  ask();
+  sendClaim();
   return {
     settle,
     end(run) {
--- a/packages/requests/src/ModelRunner.ts
+++ b/packages/requests/src/ModelRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one model request: steps its machine with what happens, one event after the other, and carries
- * out the effects through the ports.
+ * Runs one model request: feeds events to its state machine, one at a time, and executes the resulting
+ * effects through the ports.
  */
 import { formatChain } from '@skylarksail/core/CoreChain';
 import { RunState } from '@skylarksail/core/CoreConstants';
@@ -40,7 +40,7 @@
 
 type EffectOf<K extends RequestEffect['kind']> = Extract<RequestEffect, { kind: K }>;
 
-/** Starts a request; its sink hears everything from here on. */
+/** Starts a request; its sink receives all further events. */
 export function startModelRun(
   shared: RouterShared,
   spec: RequestSpec,
@@ -52,25 +52,25 @@
   const fingerprint = computeFingerprint(spec.team, spec.model, spec.prompt);
   const tokens: string[] = [];
   const attempts = createAttemptRunner(shared, spec, fingerprint, tokens, send);
-  const undoDeadline = timers.registerTimeout(spec.deadline - submittedAt, () =>
+  const cancelDeadline = timers.registerTimeout(spec.deadline - submittedAt, () =>
     send({ kind: 'deadline' }),
   );
   let machine = createRequestMachine(spec, submittedAt);
-  let undoPatience = awaitPatience(machine.firstTokenDeadline ?? Infinity);
+  let cancelPatienceTimeout = schedulePatienceTimeout(machine.firstTokenDeadline ?? Infinity);
   let listener: RequestSink | null = sink;
   let isStarted = false;
   let claim: ClaimHandle | null = null;
   let longestGap: Millis = 0;
 
   const getMachine = (): RequestMachine => machine;
-  const retries = createRunRetries(shared, { spec, getMachine, send, giveUp, log });
+  const retries = createRunRetries(shared, { spec, getMachine, send, giveUp: recordGiveUp, log });
   const watch = createRunWatch(shared, {
     spec,
     getMachine,
     attempts,
     retries,
     send,
-    giveUp,
+    giveUp: recordGiveUp,
     log,
   });
 
@@ -109,14 +109,14 @@
     });
   }
 
-  /** Looks once more after a pause of our own: an answer that came meanwhile is still unread. */
-  function awaitPatience(dueAt: Millis): Unregister {
+  /** Checks again if the timer fires late: after a pause of this process, an answer may still be unread. */
+  function schedulePatienceTimeout(dueAt: Millis): Unregister {
     if (dueAt === Infinity) {
       return () => undefined;
     }
     return timers.registerTimeout(dueAt - timers.now(), () => {
       if (timers.now() - dueAt > LATE_TICK_TOLERANCE) {
-        undoPatience = awaitPatience(timers.now() + LATE_TICK_TOLERANCE);
+        cancelPatienceTimeout = schedulePatienceTimeout(timers.now() + LATE_TICK_TOLERANCE);
       } else {
         send({ kind: 'patience-over' });
       }
@@ -136,7 +136,7 @@
         attempts.close(effect.outcome);
         break;
       case 'token':
-        passToken(effect);
+        forwardToken(effect);
         break;
       case 'watch':
         watch.scheduleCheck(effect.delay);
@@ -155,7 +155,7 @@
         countMetric(shared, 'pauseMs', effect.pause);
         break;
       case 'given-up':
-        giveUp(effect.reason);
+        recordGiveUp(effect.reason);
         break;
       case 'complete':
         complete(effect.reason);
@@ -181,7 +181,7 @@
     logDecision(shared, { request, team, decision, attempt: machine.attempt, chain, reason });
   }
 
-  function giveUp(reason: GiveUpReasonName): void {
+  function recordGiveUp(reason: GiveUpReasonName): void {
     countGiveUp(shared, reason);
     log('give-up', reason);
   }
@@ -222,7 +222,7 @@
     log(effect.attempt === 1 ? 'chain' : 'repair', null);
   }
 
-  function passToken(effect: EffectOf<'token'>): void {
+  function forwardToken(effect: EffectOf<'token'>): void {
     const now = timers.now();
     const wait = now - effect.since;
     const chain = attempts.getChain();
@@ -231,18 +231,18 @@
       noteRunToken(shared, fingerprint, chain, machine.attemptTokens, effect.isFirst ? null : wait);
     }
     if (effect.isFirst) {
-      noteFirstOfAttempt(effect.index, wait);
+      noteFirstTokenOfAttempt(effect.index, wait);
     } else {
       longestGap = Math.max(longestGap, wait);
       meters.noteGap(spec.model, wait);
       admission.noteGap(wait);
       countMetric(shared, 'gapMs', wait);
     }
-    start();
+    notifyStart();
     listener?.onToken(effect.index, effect.token);
   }
 
-  function noteFirstOfAttempt(index: number, wait: Millis): void {
+  function noteFirstTokenOfAttempt(index: number, wait: Millis): void {
     recovery.finish(spec.id);
     shared.startQueuedRecoveries();
     attempts.noteFirstToken(wait);
@@ -252,7 +252,7 @@
     }
   }
 
-  function start(): void {
+  function notifyStart(): void {
     if (!isStarted) {
       isStarted = true;
       listener?.onStart(attempts.getHead());
@@ -289,15 +289,15 @@
     claim?.settle({ run: RunState.Ran, answer: encodeAnswer({ reason, text: tokens.join('') }) });
     countMetric(shared, 'completed');
     log('complete', reason);
-    start();
-    leave()?.onEnd(reason);
+    notifyStart();
+    cleanUp()?.onEnd(reason);
   }
 
   function replay(answer: string): void {
     const { reason, text } = decodeAnswer(answer);
     log('complete', 'answer held');
-    start();
-    const ended = leave();
+    notifyStart();
+    const ended = cleanUp();
     if (text !== '') {
       ended?.onToken(0, text);
     }
@@ -309,15 +309,15 @@
     claim?.end(problem.run);
     countMetric(shared, isNotRun ? 'refused' : 'failed');
     log(isNotRun ? 'refuse' : 'fail', `${problem.kind} ${problem.run}`);
-    leave()?.onError(problem);
+    cleanUp()?.onError(problem);
   }
 
-  /** Gives everything back; returns the sink, which hears one thing more at the most. */
-  function leave(): RequestSink | null {
+  /** Releases all resources; returns the sink, which receives at most the final event. */
+  function cleanUp(): RequestSink | null {
     const ended = listener;
     listener = null;
-    undoDeadline();
-    undoPatience();
+    cancelDeadline();
+    cancelPatienceTimeout();
     watch.stop();
     retries.stop();
     attempts.close({ kind: 'cancelled' });
@@ -349,10 +349,10 @@
   }
 
   /**
-   * A key is claimed first: an answer that is held needs no engine, and a refusal ahead of the claim
-   * would tell the caller "not run" of a key that had run.
+   * Runs after the key is claimed: a stored answer needs no engine, and a refusal before the claim would
+   * report "not run" for a key that had run.
    */
-  function askAdmission(): void {
+  function requestAdmission(): void {
     const retryAfter = admission.check(createAdmissionRequest(spec, meters), timers.now());
     if (retryAfter === null) {
       enqueue();
@@ -370,36 +370,36 @@
       countMetric(shared, 'poisonRefused');
       refuse(ProblemKind.Poison, null);
     } else if (spec.idempotent || spec.idempotencyKey === null) {
-      askAdmission();
+      requestAdmission();
     } else {
-      // A resend may meet a newer version of the model; all that its caller chose must be the same.
-      const asked = JSON.stringify([spec.prompt, spec.variant.adapter, spec.maxTokens]);
-      const work = {
+      // A resend may get a newer version of the model, but everything that its caller chose must be the same.
+      const keyedContent = JSON.stringify([spec.prompt, spec.variant.adapter, spec.maxTokens]);
+      const claimRequest = {
         ...spec,
         key: spec.idempotencyKey,
-        fingerprint: computeFingerprint(spec.team, spec.model, asked),
+        fingerprint: computeFingerprint(spec.team, spec.model, keyedContent),
       };
-      claim = claimKey(shared, work, {
-        onGranted: askAdmission,
+      claim = claimKey(shared, claimRequest, {
+        onGranted: requestAdmission,
         onReplayed: (answer) => send({ kind: 'answer-held', answer }),
         onRefused: (problem) => send({ kind: 'refused', problem }),
       });
     }
   }
 
-  function hangUp(): void {
+  function handleHangUp(): void {
     const isRunningKeyed = claim !== null && machine.attempt > 0;
     if (!isRunningKeyed || machine.phase === RequestPhase.Ended) {
       send({ kind: 'hang-up' });
       return;
     }
-    // Keyed work that runs goes on without its caller, so that a resend finds the answer.
-    const left = listener;
+    // A keyed request that runs continues without its caller, so that a resend finds the answer.
+    const hungUpListener = listener;
     listener = null;
-    const isSeen = machine.tokenCount > 0;
-    left?.onError({
+    const hasTokens = machine.tokenCount > 0;
+    hungUpListener?.onError({
       kind: ProblemKind.HungUp,
-      run: isSeen ? RunState.Ran : RunState.Unknown,
+      run: hasTokens ? RunState.Ran : RunState.Unknown,
       retryAfter: null,
       instance: null,
     });
@@ -407,5 +407,5 @@
 
   shared.runs.set(spec.id, run);
   shared.post(begin);
-  return { cancel: () => shared.post(hangUp) };
+  return { cancel: () => shared.post(handleHangUp) };
 }
--- a/packages/requests/src/RequestAdmission.ts
+++ b/packages/requests/src/RequestAdmission.ts
@@ -1,7 +1,7 @@
 /**
- * Decides when a request may run: fair queue, concurrency limit, KV memory and deadlines. A request that
- * cannot be answered in time is refused at once, with the time after which a resend makes sense; one
- * that is queued to die would take its caller's time and, in the end, the engines'.
+ * Admission control: decides when a request may run, by fair queue, concurrency limit, KV memory and
+ * deadline. A request that cannot meet its deadline is refused at once with a retry delay: queueing it
+ * would waste its caller's time and, once it ran, the engines' time.
  */
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
 import { getPriorityRank } from '@skylarksail/core/CoreConstants';
@@ -18,51 +18,50 @@
 import type { FairQueue, QueueEntry } from './RequestQueue.js';
 import { createFairQueue } from './RequestQueue.js';
 
-/** A request that asks to run. */
+/** A request to be admitted. */
 export interface AdmissionRequest {
   readonly id: RequestId;
   readonly team: TeamId;
   readonly priority: PriorityName;
   /** Work in tokens. */
   readonly cost: number;
-  /** KV-cache entries that it may come to hold, in tokens. */
+  /** Maximum number of KV-cache entries it may need, in tokens. */
   readonly kvTokens: number;
   readonly deadline: Millis;
-  /** How long it will take once it runs. */
+  /** Estimated run time after admission. */
   readonly duration: Millis;
 }
 
-/** What a team is entitled to. */
+/** Share and queue limit of a team. */
 export interface TeamLimits {
   readonly share: number;
   readonly queueLimit: number;
 }
 
-/** How admission is set up. */
 export interface AdmissionConfig {
   readonly limits: LimitConfig;
-  /** Requests of all teams that may wait. */
+  /** Maximum number of waiting requests of all teams. */
   readonly queueBound: number;
   readonly getTeamLimits: (team: TeamId) => TeamLimits;
-  /** KV-cache memory that this instance may count on, in tokens; null if not known. */
+  /** KV-cache memory available to this instance, in tokens; null if unknown. */
   readonly getKvCapacity: () => number | null;
 }
 
-/** Hears what becomes of a request that waits: exactly one of the two, once. */
+/** Receives the outcome of a queued request: at most one call, none if it is removed while waiting. */
 export interface AdmissionListener {
   readonly onAdmitted: () => void;
-  /** It did not run. `retryAfter` is when its team may expect a place. */
+  /** The request did not run; `retryAfter` is the estimated time until its team gets a slot. */
   readonly onRefused: (retryAfter: Millis) => void;
 }
 
-/** The gate before the engines. */
+/** Admits requests to the engines. */
 export interface Admission {
-  /** Wait until a resend makes sense if the request must be refused now, else null. Changes nothing. */
+  /** Returns the retry delay if the request must be refused now, else null. Has no side effects. */
   check(ask: AdmissionRequest, now: Millis): Millis | null;
   enqueue(ask: AdmissionRequest, listener: AdmissionListener, now: Millis): void;
-  /** Gives up waiting, or gives back the place of one that ran. */
+  /** Removes a waiting request, or frees the slot of a running one. */
   release(id: RequestId, now: Millis): void;
-  /** Refuses what can no longer be answered in time, adapts the limit, and admits what it allows. */
+  /** Refuses waiting requests that can no longer meet their deadline, adapts the limit, and admits requests. */
   sweep(now: Millis): void;
   noteGap(gap: Millis): void;
   noteFirstToken(wait: Millis): void;
@@ -72,27 +71,26 @@
   countRunning(): number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly ask: AdmissionRequest;
   readonly listener: AdmissionListener;
 }
 
-const LEAST_RETRY: Millis = 250;
-const MOST_RETRY: Millis = 30_000;
+const MIN_RETRY_AFTER: Millis = 250;
+const MAX_RETRY_AFTER: Millis = 30_000;
 const RATE_WINDOW: Millis = 1000;
-const RATE_WEIGHT = 0.3;
+const RATE_SMOOTHING = 0.3;
 
-/** Creates a gate with nothing behind it. */
 export function createAdmission(cfg: AdmissionConfig, start: Millis): Admission {
   const queue: FairQueue = createFairQueue({ total: cfg.queueBound });
-  const waiting = new Map<RequestId, Waiting>();
+  const waiting = new Map<RequestId, WaitingRequest>();
   const running = new Map<RequestId, AdmissionRequest>();
   let limit: ConcurrencyLimit = createConcurrencyLimit(cfg.limits, start);
   let kvInUse = 0;
-  /** Work finished per millisecond; null before the first window that finished any. */
-  let rate: number | null = null;
-  let finishedCost = 0;
-  let rateStart = start;
+  /** Completed work per millisecond; null until a window has completed any. */
+  let throughput: number | null = null;
+  let completedCost = 0;
+  let windowStart = start;
 
   function fits(entry: QueueEntry): boolean {
     if (running.size >= Math.floor(limit.limit)) {
@@ -100,15 +98,15 @@
       return false;
     }
     const capacity = cfg.getKvCapacity();
-    const wanted = waiting.get(entry.id)?.ask.kvTokens ?? 0;
-    // One request may always run, or one that is larger than the estimate would wait for ever.
-    return capacity === null || running.size === 0 || kvInUse + wanted <= capacity;
+    const needed = waiting.get(entry.id)?.ask.kvTokens ?? 0;
+    // One request may always run; otherwise, one larger than the estimated capacity would wait forever.
+    return capacity === null || running.size === 0 || kvInUse + needed <= capacity;
   }
 
   function admit(now: Millis): void {
     for (let entry = queue.pop(fits); entry; entry = queue.pop(fits)) {
       const found = waiting.get(entry.id);
-      if (found && isHopeless(found.ask, now)) {
+      if (found && wouldMissDeadline(found.ask, now)) {
         refuse(entry.id, now);
         continue;
       }
@@ -128,37 +126,38 @@
     found?.listener.onRefused(computeRetryAfter(estimateWait(found.ask), now));
   }
 
-  /** Even if it ran now it would end too late: running it would take a place for nothing. */
-  function isHopeless(ask: AdmissionRequest, now: Millis): boolean {
+  /** Whether the request would end after its deadline even if it started now, and would waste a slot. */
+  function wouldMissDeadline(ask: AdmissionRequest, now: Millis): boolean {
     return now + ask.duration > ask.deadline;
   }
 
   function computeRetryAfter(wait: Millis, now: Millis): Millis {
-    const untilSweep = Math.max(0, rateStart + RATE_WINDOW - now);
-    return Math.min(MOST_RETRY, Math.max(LEAST_RETRY, wait, untilSweep));
+    const untilSweep = Math.max(0, windowStart + RATE_WINDOW - now);
+    return Math.min(MAX_RETRY_AFTER, Math.max(MIN_RETRY_AFTER, wait, untilSweep));
   }
 
   function estimateWait(ask: AdmissionRequest): Millis {
     const { share } = cfg.getTeamLimits(ask.team);
     const isFree = queue.size() === 0 && running.size < Math.floor(limit.limit);
-    if (isFree || rate === null || rate === 0) {
+    if (isFree || throughput === null || throughput === 0) {
       return 0;
     }
-    return queue.getWorkAhead(ask.team, share, getPriorityRank(ask.priority)) / rate;
+    return queue.getWorkAhead(ask.team, share, getPriorityRank(ask.priority)) / throughput;
   }
 
-  function noteRate(now: Millis): void {
-    const elapsed = now - rateStart;
+  function updateThroughput(now: Millis): void {
+    const elapsed = now - windowStart;
     if (elapsed < RATE_WINDOW) {
       return;
     }
-    const seen = finishedCost / elapsed;
-    // Idle windows say nothing of what the engines can do.
-    if (seen > 0 && (limit.reached || queue.size() > 0 || rate === null)) {
-      rate = rate === null ? seen : rate + RATE_WEIGHT * (seen - rate);
+    const measured = completedCost / elapsed;
+    // Windows without load say nothing about the capacity of the engines.
+    if (measured > 0 && (limit.reached || queue.size() > 0 || throughput === null)) {
+      throughput =
+        throughput === null ? measured : throughput + RATE_SMOOTHING * (measured - throughput);
     }
-    finishedCost = 0;
-    rateStart = now;
+    completedCost = 0;
+    windowStart = now;
   }
 
   return {
@@ -175,7 +174,7 @@
         rank: getPriorityRank(ask.priority),
         cost: ask.cost,
       };
-      // A team that may not queue at all may still run while there is room.
+      // A team with a queue limit of 0 may still run requests while slots are free.
       const hasRoom = queue.size() === 0 && running.size < Math.floor(limit.limit);
       const outcome = queue.push(entry, hasRoom ? Infinity : team.queueLimit);
       if (outcome.kind === 'full') {
@@ -193,18 +192,18 @@
       if (ask) {
         running.delete(id);
         kvInUse -= ask.kvTokens;
-        finishedCost += ask.cost;
-        noteRate(now);
+        completedCost += ask.cost;
+        updateThroughput(now);
       } else if (waiting.delete(id)) {
         queue.remove(id);
       }
       admit(now);
     },
     sweep(now) {
-      noteRate(now);
+      updateThroughput(now);
       limit = adaptLimit(limit, cfg.limits, now);
       for (const { ask } of [...waiting.values()]) {
-        if (isHopeless(ask, now)) {
+        if (wouldMissDeadline(ask, now)) {
           refuse(ask.id, now);
         }
       }
--- a/packages/requests/src/RequestAnswers.ts
+++ b/packages/requests/src/RequestAnswers.ts
@@ -1,18 +1,18 @@
-/** How an answer is written into a claim's record, and read back for a resend. */
+/** Encodes answers for the record of a claim, and decodes them to replay for a resend. */
 import type { FinishReason, ServiceAnswer } from './RequestPorts.js';
 
-/** The whole answer of a model request. */
-export interface HeldAnswer {
+/** The complete answer to a model request. */
+export interface StoredAnswer {
   readonly reason: FinishReason;
   readonly text: string;
 }
 
-export function encodeAnswer(answer: HeldAnswer): string {
+export function encodeAnswer(answer: StoredAnswer): string {
   return JSON.stringify(answer);
 }
 
-export function decodeAnswer(text: string): HeldAnswer {
-  return JSON.parse(text) as HeldAnswer;
+export function decodeAnswer(text: string): StoredAnswer {
+  return JSON.parse(text) as StoredAnswer;
 }
 
 export function encodeServiceAnswer(answer: ServiceAnswer): string {
--- a/packages/requests/src/RequestAttempt.ts
+++ b/packages/requests/src/RequestAttempt.ts
@@ -1,7 +1,4 @@
-/**
- * One attempt of a model request: its frames, its silence and its failure. Pure, as the machine is of
- * which it is a part.
- */
+/** The part of a request's state machine that handles one attempt: its frames, silence and failure. Pure. */
 import { isSameChain } from '@skylarksail/core/CoreChain';
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import { RunState } from '@skylarksail/core/CoreConstants';
@@ -30,15 +27,15 @@
 import type { AttemptOutcome } from './RequestTypes.js';
 import { ProblemKind } from './RequestTypes.js';
 
-/** Events of an attempt. */
+/** Events that carry an attempt number. */
 export type AttemptEvent = Extract<RequestEvent, { attempt: number }>;
 
-/** A tick that comes this late says that we slept ourselves; the streams get another chance. */
+/** A tick later than this means that the router's own process was paused, so silent streams get another timeout. */
 export const LATE_TICK_TOLERANCE: Millis = 50;
 
 const MAX_DOUBLINGS = 4;
 
-/** Opens the next attempt on a chain that was chosen. */
+/** Opens the next attempt on the chosen chain. */
 export function openAttempt(
   machine: RequestMachine,
   event: Extract<RequestEvent, { kind: 'chosen' }>,
@@ -65,13 +62,13 @@
     machine: opened,
     effects: [
       { kind: 'open', attempt, chain: event.chain, importFrom: event.importFrom },
-      // Work that must not run twice is never replaced, so its silence is borne until the deadline.
+      // A non-idempotent attempt is never replaced, so its silence is tolerated until the deadline.
       ...watchSilence(opened),
     ],
   };
 }
 
-/** Takes an event of the present attempt. */
+/** Handles an event of the current attempt. */
 export function stepAttempt(
   machine: RequestMachine,
   event: AttemptEvent,
@@ -80,20 +77,20 @@
   switch (event.kind) {
     case 'acknowledged':
       if (!machine.chain || !isSameChain(machine.chain, event.acknowledgement)) {
-        return failAttempt(machine, brokenRule(FailurePlace.Acknowledgement), [], now);
+        return failAttempt(machine, createProtocolFailure(FailurePlace.Acknowledgement), [], now);
       }
       return keepState({ ...machine, acknowledged: true, lastActivityAt: now });
     case 'token':
       return takeToken(machine, event.index, event.token, now);
     case 'end':
       if (!machine.acknowledged || event.tokenCount !== machine.tokenCount) {
-        // An end that counts other tokens than came would pass a cut answer off as complete.
-        return failAttempt(machine, brokenRule(FailurePlace.Garbage), [], now);
+        // If the counts differ, tokens are missing or added; completing would present a truncated answer as complete.
+        return failAttempt(machine, createProtocolFailure(FailurePlace.Garbage), [], now);
       }
       return {
         machine: { ...machine, phase: RequestPhase.Ended },
         effects: [
-          { kind: 'close', outcome: describeAnswer(machine, now) },
+          { kind: 'close', outcome: createAnsweredOutcome(machine, now) },
           { kind: 'complete', reason: event.reason },
         ],
       };
@@ -114,7 +111,7 @@
     return dropFrame(machine, 'repeated-frame');
   }
   if (!machine.acknowledged || index > machine.tokenCount || index >= machine.maxTokens) {
-    return failAttempt(machine, brokenRule(FailurePlace.Garbage), [], now);
+    return failAttempt(machine, createProtocolFailure(FailurePlace.Garbage), [], now);
   }
   const isFirst = machine.attemptTokens === 0;
   const recovered: readonly RequestEffect[] =
@@ -122,7 +119,7 @@
       ? [{ kind: 'recovered', firstToken: now - machine.openedAt, pause: now - machine.progressAt }]
       : [];
   return {
-    machine: advance(machine, isFirst, now),
+    machine: countToken(machine, isFirst, now),
     effects: [
       {
         kind: 'token',
@@ -137,10 +134,10 @@
 }
 
 /**
- * The state after one more token. Every field is named: copying so many by spread and then replacing
- * some costs forty times as much, and this runs once for each token.
+ * Returns the state after one more token. It lists every field because this runs for each token, and a spread with
+ * replaced fields costs forty times as much.
  */
-function advance(machine: RequestMachine, isFirst: boolean, now: Millis): RequestMachine {
+function countToken(machine: RequestMachine, isFirst: boolean, now: Millis): RequestMachine {
   return {
     phase: machine.phase,
     idempotent: machine.idempotent,
@@ -168,14 +165,14 @@
   };
 }
 
-/** Takes a tick: waits on, or finds the attempt silent. */
+/** Handles a tick: sets the next timer, or reports that the attempt was silent too long. */
 export function checkSilence(machine: RequestMachine, dueAt: Millis, now: Millis): MachineStep {
   if (machine.phase !== RequestPhase.Running) {
     return keepState(machine);
   }
   const limit = getSilenceLimit(machine);
   if (now - dueAt > LATE_TICK_TOLERANCE) {
-    // We were paused: frames that came meanwhile are still unread, and all streams look hung at once.
+    // This process was paused: frames that arrived meanwhile are unread, so all streams appear hung at once.
     return {
       machine: { ...machine, lastActivityAt: now },
       effects: [{ kind: 'watch', delay: limit }],
@@ -183,7 +180,7 @@
   }
   const silentFor = now - machine.lastActivityAt;
   if (silentFor < limit) {
-    // A fraction of a millisecond can be too little to move the clock on: the tick would come for ever.
+    // Round up: a delay below a millisecond may not advance the clock, and the tick would repeat forever.
     return { machine, effects: [{ kind: 'watch', delay: Math.ceil(limit - silentFor) }] };
   }
   return { machine, effects: [{ kind: 'silent', attempt: machine.attempt }] };
@@ -193,7 +190,7 @@
   return machine.idempotent ? [{ kind: 'watch', delay: getSilenceLimit(machine) }] : [];
 }
 
-/** Gives a silent attempt as much time again. */
+/** Lets a silent attempt continue, and restarts its timer. */
 export function tolerateSilence(machine: RequestMachine): MachineStep {
   if (machine.phase !== RequestPhase.Running) {
     return keepState(machine);
@@ -205,17 +202,17 @@
   };
 }
 
-/** How long the present attempt may be silent from its last sign of life on. */
+/** Returns the silence timeout of the current attempt, counted from its last activity. */
 function getSilenceLimit(machine: RequestMachine): Millis {
-  // Silence after silence says that all is slow: recovering ever again would make it slower.
-  const doubled = 2 ** Math.min(MAX_DOUBLINGS, machine.fruitless) * (1 + machine.toleratedSilences);
+  // Repeated silence indicates general slowness, which more recoveries would increase.
+  const factor = 2 ** Math.min(MAX_DOUBLINGS, machine.fruitless) * (1 + machine.toleratedSilences);
   if (!machine.acknowledged) {
-    return doubled * machine.limits.acknowledgement;
+    return factor * machine.limits.acknowledgement;
   }
   if (machine.attemptTokens === 0) {
-    return doubled * machine.limits.firstToken;
+    return factor * machine.limits.firstToken;
   }
-  return doubled * computeSilenceLimit(machine.pace, machine.limits.gapBounds);
+  return factor * computeSilenceLimit(machine.pace, machine.limits.gapBounds);
 }
 
 function failAttempt(
@@ -230,11 +227,11 @@
     tokens: machine.attemptTokens,
     ended: false,
   });
-  const failed = nameFailed(machine, failure, suspects);
+  const failed = listFailedEngines(machine, failure, suspects);
   const fruitless = machine.attemptTokens > 0 ? 1 : machine.fruitless + 1;
   const run = combineRunStates(machine.run, getRunState(failureClass));
   const isSpent = isAttemptSpent(failure, failureClass);
-  const closed: RequestMachine = {
+  const updated: RequestMachine = {
     ...machine,
     attemptsLeft: machine.attemptsLeft - (isSpent ? 1 : 0),
     run,
@@ -242,9 +239,9 @@
     failedAt: now,
     avoid: [...new Set([...machine.avoid, ...failed])],
   };
-  const noted: readonly RequestEffect[] = [
-    { kind: 'close', outcome: describeFailure(failure, failed, isSlow) },
-    noteFailure(closed, failure, failureClass, failed, now),
+  const failureEffects: readonly RequestEffect[] = [
+    { kind: 'close', outcome: createFailedOutcome(failure, failed, isSlow) },
+    createFailureEffect(updated, failure, failureClass, failed, now),
   ];
   const next = decideNextStep(failure, failureClass, {
     idempotent: machine.idempotent,
@@ -252,32 +249,33 @@
     hasTokens: machine.tokenCount > 0,
     isPatient: machine.patientUntil === null ? null : now < machine.patientUntil,
   });
-  if (next === NextStep.Stop || closed.attemptsLeft <= 0) {
+  if (next === NextStep.Stop || updated.attemptsLeft <= 0) {
     const ended = endWith(
-      { ...closed, phase: RequestPhase.Pausing },
+      { ...updated, phase: RequestPhase.Pausing },
       createProblem(ProblemKind.EngineFailed, run, failure.retryAfter),
     );
-    const reason = closed.attemptsLeft <= 0 ? GiveUpReason.AttemptsSpent : nameStop(closed);
+    const reason =
+      updated.attemptsLeft <= 0 ? GiveUpReason.AttemptsSpent : getGiveUpReason(updated);
     return {
       machine: ended.machine,
-      effects: [...noted, { kind: 'given-up', reason }, ...ended.effects],
+      effects: [...failureEffects, { kind: 'given-up', reason }, ...ended.effects],
     };
   }
   return {
-    machine: { ...closed, phase: RequestPhase.Pausing },
+    machine: { ...updated, phase: RequestPhase.Pausing },
     effects: [
-      ...noted,
+      ...failureEffects,
       { kind: 'ask-retry', mode: next, failed, retryAfter: failure.retryAfter, fruitless },
     ],
   };
 }
 
-function nameStop({ idempotent, run }: RequestMachine): GiveUpReasonName {
+function getGiveUpReason({ idempotent, run }: RequestMachine): GiveUpReasonName {
   const mustNotRepeat = !idempotent && run !== RunState.NotRun;
   return mustNotRepeat ? GiveUpReason.MustNotRepeat : GiveUpReason.Fruitless;
 }
 
-function noteFailure(
+function createFailureEffect(
   machine: RequestMachine,
   failure: AttemptFailure,
   failureClass: FailureClassName,
@@ -298,18 +296,18 @@
   };
 }
 
-function describeAnswer(machine: RequestMachine, now: Millis): AttemptOutcome {
+function createAnsweredOutcome(machine: RequestMachine, now: Millis): AttemptOutcome {
   const gaps = machine.attemptTokens - 1;
-  const spent = now - machine.firstTokenAt;
+  const duration = now - machine.firstTokenAt;
   return {
     kind: 'answered',
     firstToken: machine.firstTokenAt - machine.openedAt,
-    meanGap: gaps > 0 ? spent / gaps : null,
+    meanGap: gaps > 0 ? duration / gaps : null,
   };
 }
 
-/** Several suspects share no blame: that would eject engines that did nothing wrong. */
-function describeFailure(
+/** Names an engine only if it is the single suspect; blaming several would eject healthy engines. */
+function createFailedOutcome(
   failure: AttemptFailure,
   failed: readonly EngineId[],
   isSlow: boolean,
@@ -318,8 +316,8 @@
   return { kind: 'failed', engine, cause: isSlow ? 'slow' : describeCause(failure) };
 }
 
-/** Engines held to have failed: the one that is named, else the suspects, else the first stage. */
-function nameFailed(
+/** Returns the engines assumed to have failed: the named one, else the suspects, else the first stage. */
+function listFailedEngines(
   machine: RequestMachine,
   failure: AttemptFailure,
   suspects: readonly EngineId[],
@@ -334,7 +332,7 @@
   return first ? [first.engine] : [];
 }
 
-/** A failure that we found ourselves in what the engine sent. */
-function brokenRule(place: AttemptFailure['place']): AttemptFailure {
+/** Creates the failure for a protocol violation by the engine. */
+function createProtocolFailure(place: AttemptFailure['place']): AttemptFailure {
   return { place, engine: null, status: null, retryAfter: null, provenNotRun: false };
 }
--- a/packages/requests/src/RequestBudget.ts
+++ b/packages/requests/src/RequestBudget.ts
@@ -1,87 +1,92 @@
 /**
- * The retry budget: repeats are a bounded share of first tries, and a few more, in any window of time, so
- * that an outage is not multiplied by those who wait it out. Each instance keeps its part, and with that
- * the fleet does, without a word between them.
+ * Retry budget: in any time window, retries are limited to a share of the first attempts plus a burst, so
+ * that retries do not amplify the load of an outage. Each instance enforces its own part, which bounds
+ * the retries of the whole fleet without coordination.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-/** What was counted in one slice of time. */
+/** Counts of one time slice. */
 interface BudgetSlice {
   readonly index: number;
-  readonly firstTries: number;
-  readonly repeats: number;
+  readonly firstAttempts: number;
+  readonly retries: number;
 }
 
-/** What a budget allows. */
-export interface BudgetTerms {
-  /** Repeats for each first try in a window. */
+/** Limits of a budget. */
+export interface RetryBudgetConfig {
+  /** Retries per first attempt in a window. */
   readonly share: number;
-  /** Repeats beyond that in a window. */
+  /** Additional retries in a window. */
   readonly burst: number;
-  /** Any span of this length is kept within the budget. */
+  /** Length of the sliding window. */
   readonly window: Millis;
 }
 
-export interface RetryBudget extends BudgetTerms {
+export interface RetryBudget extends RetryBudgetConfig {
   readonly slices: readonly BudgetSlice[];
 }
 
-/** Counts are kept by slices of this length: one more or less in a window is the error that is borne. */
-const SLICE: Millis = 500;
+/** Length of a time slice; windows are accurate to one slice. */
+const SLICE_LENGTH: Millis = 500;
 
-/** A budget of which nothing is used. */
-export function createRetryBudget(terms: BudgetTerms): RetryBudget {
-  return { ...terms, slices: [] };
+/** Creates an unused budget. */
+export function createRetryBudget(cfg: RetryBudgetConfig): RetryBudget {
+  return { ...cfg, slices: [] };
 }
 
-/** The same counts under another burst, as instances come and go. */
+/** Changes the burst and keeps the counts; the burst depends on the number of instances. */
 export function setBurst(budget: RetryBudget, burst: number): RetryBudget {
   return burst === budget.burst ? budget : { ...budget, burst };
 }
 
-/** Notes a first try. */
+/** Counts a first attempt. */
 export function noteFirstAttempt(budget: RetryBudget, now: Millis): RetryBudget {
-  return count(budget, now, 1, 0);
+  return addCounts(budget, now, 1, 0);
 }
 
-/** Whether a repeat could be had now. */
+/** Whether the budget allows a retry now. */
 export function hasRetry(budget: RetryBudget, now: Millis): boolean {
-  const index = Math.floor(now / SLICE);
-  // The slice that the window begins in counts whole against us and not at all for us.
-  const first = index - countSlices(budget);
-  const repeats = sum(budget, first, ({ repeats: seen }) => seen);
-  const firstTries = sum(budget, first + 1, ({ firstTries: seen }) => seen);
-  return repeats + 1 <= budget.burst + budget.share * firstTries;
+  const index = Math.floor(now / SLICE_LENGTH);
+  // Conservative for the slice in which the window begins: its retries count, its first attempts do not.
+  const windowIndex = index - countSlices(budget);
+  const retries = sum(budget, windowIndex, ({ retries: seen }) => seen);
+  const firstAttempts = sum(budget, windowIndex + 1, ({ firstAttempts: seen }) => seen);
+  return retries + 1 <= budget.burst + budget.share * firstAttempts;
 }
 
-/** Takes a repeat, or null if there is none. */
+/** Counts a retry, or returns null if the budget allows none. */
 export function takeRetry(budget: RetryBudget, now: Millis): RetryBudget | null {
-  return hasRetry(budget, now) ? count(budget, now, 0, 1) : null;
+  return hasRetry(budget, now) ? addCounts(budget, now, 0, 1) : null;
 }
 
-/** Gives a repeat back that never reached an engine. */
+/** Refunds a retry that never reached an engine. */
 export function refundRetry(budget: RetryBudget, now: Millis): RetryBudget {
-  return count(budget, now, 0, -1);
+  return addCounts(budget, now, 0, -1);
 }
 
 function countSlices({ window }: RetryBudget): number {
-  return Math.ceil(window / SLICE);
+  return Math.ceil(window / SLICE_LENGTH);
 }
 
 function sum({ slices }: RetryBudget, from: number, read: (slice: BudgetSlice) => number): number {
   return slices.reduce((total, slice) => total + (slice.index >= from ? read(slice) : 0), 0);
 }
 
-function count(budget: RetryBudget, now: Millis, firstTries: number, repeats: number): RetryBudget {
-  const index = Math.floor(now / SLICE);
+function addCounts(
+  budget: RetryBudget,
+  now: Millis,
+  firstAttempts: number,
+  retries: number,
+): RetryBudget {
+  const index = Math.floor(now / SLICE_LENGTH);
   const kept = budget.slices.filter((slice) => slice.index >= index - countSlices(budget));
   const last = kept.at(-1);
   const isCurrent = last !== undefined && last.index >= index;
-  const before = isCurrent ? last : { index, firstTries: 0, repeats: 0 };
+  const before = isCurrent ? last : { index, firstAttempts: 0, retries: 0 };
   const slice = {
     index: before.index,
-    firstTries: before.firstTries + firstTries,
-    repeats: before.repeats + repeats,
+    firstAttempts: before.firstAttempts + firstAttempts,
+    retries: before.retries + retries,
   };
   return { ...budget, slices: [...(isCurrent ? kept.slice(0, -1) : kept), slice] };
 }
--- a/packages/requests/src/RequestClaims.ts
+++ b/packages/requests/src/RequestClaims.ts
@@ -1,4 +1,4 @@
-/** What the outcome of a claim means for the request that asked, and how its end is recorded. */
+/** Decides from the outcome of a claim how the claiming request proceeds. */
 import { RunState } from '@skylarksail/core/CoreConstants';
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -6,19 +6,19 @@
 import type { ProblemKindName, RequestProblem } from './RequestTypes.js';
 import { ProblemKind } from './RequestTypes.js';
 
-/** What to do after a claim was answered. */
+/** How the request proceeds after its claim. */
 export type ClaimDecision =
   | { readonly kind: 'run'; readonly token: string }
-  /** Give the caller the answer that the earlier request got. */
+  /** Return the recorded answer of the earlier request. */
   | { readonly kind: 'replay'; readonly answer: string }
-  /** The earlier request runs: ask again, or tell the caller if its time is nearly up. */
+  /** The earlier request is running: claim again, or return the problem if the deadline is near. */
   | { readonly kind: 'wait'; readonly problem: RequestProblem }
   | { readonly kind: 'refuse'; readonly problem: RequestProblem };
 
-/** Wait before a caller, or we for it, ask again for work that runs. */
+/** Delay before a key whose earlier request is running is claimed again, here or by the caller. */
 export const RUNNING_RETRY_DELAY: Millis = 500;
 
-/** Maps an outcome to what the caller is told. Each says no more than is proven. */
+/** Maps the outcome of a claim to a decision. A reported run state says no more than is proven. */
 export function decideClaim(outcome: ClaimOutcome): ClaimDecision {
   switch (outcome.kind) {
     case 'granted':
@@ -38,8 +38,8 @@
     case 'key-mismatch':
       return refuse(ProblemKind.KeyMismatch, RunState.NotRun, null);
     case 'key-expired':
-      // A request may have run under the key when it was younger; this one has not, but the caller
-      // asks about the key.
+      // This request has not run, but an earlier one may have run with the same key before it
+      // expired, and the caller needs the state for the key.
       return refuse(ProblemKind.KeyExpired, RunState.Unknown, null);
     case 'unavailable':
       return refuse(ProblemKind.ClaimUnavailable, RunState.NotRun, outcome.retryAfter);
--- a/packages/requests/src/RequestErrors.ts
+++ b/packages/requests/src/RequestErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the requests package; errors from below are turned into these. */
+/** Errors of the requests package; errors of lower layers are converted to these. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Any error that this package throws. */
 export const RequestError = SkylarkError.subclass('RequestError');
--- a/packages/requests/src/RequestFailures.ts
+++ b/packages/requests/src/RequestFailures.ts
@@ -1,6 +1,6 @@
 /**
- * The one classification of failed attempts, told by place, status and structure, never by message
- * text, and what may be done after each class.
+ * Classifies failed attempts by place, status and structure, never by message text, and decides what may follow
+ * each class of failure.
  */
 import { RunState } from '@skylarksail/core/CoreConstants';
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
@@ -21,7 +21,7 @@
 
 export type FailureClassName = (typeof FailureClass)[keyof typeof FailureClass];
 
-/** What we saw of an attempt ourselves before it failed. */
+/** What the router observed of an attempt before it failed. */
 export interface AttemptEvidence {
   readonly acknowledged: boolean;
   readonly tokens: number;
@@ -29,9 +29,9 @@
 }
 
 /**
- * Classifies a failure. What we saw outweighs what the backend server says: a `not run` after an
- * acknowledgement or a token would be passed on to the caller, who would send the request again and
- * have it run twice.
+ * Classifies a failure. The router's observations take precedence over a backend server's statement: if the server
+ * reports `not run` after an acknowledgement or a token, and the caller gets that report, the caller resends the
+ * request and it runs twice.
  */
 export function classifyFailure(
   failure: AttemptFailure,
@@ -52,7 +52,7 @@
   return FailureClass.Unknown;
 }
 
-/** What the caller may be told after a failure of a class. */
+/** Returns the run state to report to the caller after a failure of the class. */
 export function getRunState(failureClass: FailureClassName): RunStateName {
   switch (failureClass) {
     case FailureClass.NotRun:
@@ -66,12 +66,12 @@
 
 const RUN_STATE_ORDER: readonly RunStateName[] = [RunState.NotRun, RunState.Unknown, RunState.Ran];
 
-/** What is known of a request from two of its attempts: one that may have run is never forgotten. */
+/** Combines the run states of two attempts: if one may have run, the result says so. */
 export function combineRunStates(a: RunStateName, b: RunStateName): RunStateName {
   return RUN_STATE_ORDER.indexOf(a) >= RUN_STATE_ORDER.indexOf(b) ? a : b;
 }
 
-/** What a failure says of the backend server. */
+/** Returns what a failure shows about the backend server. */
 export function describeCause(failure: AttemptFailure): FailureCause {
   if (isStageRefusal(failure)) {
     return 'refused';
@@ -96,21 +96,21 @@
   FailurePlace.Silence,
 ]);
 
-/** Whether the engine was lost, before or under the work, as against having refused it. */
+/** Whether the engine was lost before or during the attempt, rather than having refused it. */
 export function isEngineLost(failure: AttemptFailure): boolean {
   return LOST_ENGINE_PLACES.has(failure.place);
 }
 
 /**
- * Whether a stage behind the first one answered the stage before it, with a refusal. It is alive: taken for lost, an
- * engine that has just loaded another version would get no new work for seconds, though it may be the only one
- * with its layers; taken for crashed, it would put the requests there under suspicion.
+ * Whether a stage after the first refused the request of the previous stage. Its engine is alive. If it were treated
+ * as lost, an engine that has just loaded another version would get no new work for seconds, though it may be the
+ * only one with its layers. If it were treated as crashed, the requests there would become poison suspects.
  */
 export function isStageRefusal({ place, status }: AttemptFailure): boolean {
   return place === FailurePlace.Stage && status !== null;
 }
 
-/** Whether a backend server said that it does not take the work, as one does that is full or leaving. */
+/** Whether a backend server refused the work, for example because it is full or draining. */
 export function isRefusal(failure: AttemptFailure): boolean {
   return (
     failure.provenNotRun && (failure.place === FailurePlace.Refused || isStageRefusal(failure))
@@ -118,8 +118,8 @@
 }
 
 /**
- * Whether a failure looks like the death of an engine's process under the work, for the search for
- * poison requests. Work that came to an engine already dead is no suspect of its death.
+ * Whether an engine's process probably crashed during the attempt, to detect poison requests. A request that reached
+ * an engine after its crash did not cause it.
  */
 export function isCrashLike(failure: AttemptFailure): boolean {
   const isBroken = failure.place === FailurePlace.Stream || failure.place === FailurePlace.Stage;
@@ -133,44 +133,44 @@
 ]);
 
 /**
- * Whether a failed attempt counts against the engines that a request may run on: the engine may have
- * run it, and is not known to have ended. Silence proves no end.
+ * Whether a failed attempt counts towards the maximum number of engines of a request. It does if the engine may have
+ * run the request and is not known to have stopped; silence does not prove that it stopped.
  */
 export function isAttemptSpent(failure: AttemptFailure, failureClass: FailureClassName): boolean {
   return failureClass !== FailureClass.NotRun && !ENDED_ENGINE_PLACES.has(failure.place);
 }
 
-/** Failed attempts in a row, none of which gave a token, after which a request is given up. */
+/** Maximum number of consecutive failed attempts without a token before a request is given up. */
 export const MAX_FRUITLESS_ATTEMPTS = 4;
 
-/** How to go on after a failed attempt. */
+/** What follows a failed attempt. */
 export const NextStep = {
-  /** The engine was lost under the work: replace it and go on from the last token. */
+  /** The engine was lost: replace it and continue after the last token. */
   Recover: 'recover',
-  /** Try again later, out of the retry budget. */
+  /** Retry later, charged to the retry budget. */
   Retry: 'retry',
   Stop: 'stop',
 } as const;
 
 export type NextStepName = (typeof NextStep)[keyof typeof NextStep];
 
-/** Attempts at engines that were dead already, after which trying on waits for the budget. */
+/** Number of attempts on engines that were already dead before further ones need the retry budget. */
 const MAX_DEAD_ENGINES = 8;
 
-/** What decides how a request goes on. */
+/** Request state that decides what follows a failed attempt. */
 export interface RetryState {
   readonly idempotent: boolean;
-  /** Failed attempts in a row, none of which gave a token. */
+  /** Consecutive failed attempts without a token. */
   readonly fruitless: number;
-  /** Whether the caller has a part of the answer. */
+  /** Whether the caller has received part of the answer. */
   readonly hasTokens: boolean;
-  /** Whether it still waits for engines; null if the count of its attempts decides. */
+  /** Whether its wait for engines is still open; null if its number of attempts decides instead. */
   readonly isPatient?: boolean | null;
 }
 
 /**
- * Decides what may follow a failure. Non-idempotent work goes on only if it is proven not to have run.
- * An answer of which the caller has a part is not given up before its deadline.
+ * Decides what follows a failure. Non-idempotent work continues only if it is proven not to have run. A request whose
+ * caller has received part of the answer is not given up before its deadline.
  */
 export function decideNextStep(
   failure: AttemptFailure,
@@ -183,26 +183,26 @@
   if (!idempotent && failureClass !== FailureClass.NotRun) {
     return NextStep.Stop;
   }
-  const isDead = failureClass === FailureClass.NotRun && isEngineLost(failure);
-  const freeAttempts = isDead ? MAX_DEAD_ENGINES : 1;
+  const wasAlreadyDown = failureClass === FailureClass.NotRun && isEngineLost(failure);
+  const freeAttempts = wasAlreadyDown ? MAX_DEAD_ENGINES : 1;
   if (isEngineLost(failure) && fruitless <= freeAttempts) {
     return NextStep.Recover;
   }
-  const isTooOften = isPatient === null ? fruitless >= MAX_FRUITLESS_ATTEMPTS : !isPatient;
-  return isTooOften && !hasTokens ? NextStep.Stop : NextStep.Retry;
+  const isOutOfAttempts = isPatient === null ? fruitless >= MAX_FRUITLESS_ATTEMPTS : !isPatient;
+  return isOutOfAttempts && !hasTokens ? NextStep.Stop : NextStep.Retry;
 }
 
 const BACKOFF_BASE: Millis = 25;
 const BACKOFF_LIMIT: Millis = 2000;
 const BACKOFF_JITTER = 0.5;
 
-/** Wait before the next try: doubled by each fruitless one, spread out, never less than was asked for. */
+/** Returns the exponential backoff with jitter before the next attempt, never shorter than `retryAfter`. */
 export function computeBackoff(
   random: Random,
   fruitlessAttempts: number,
   retryAfter: Millis | null,
 ): Millis {
-  const doubled = BACKOFF_BASE * 2 ** Math.max(0, fruitlessAttempts - 1);
-  const spread = jitter(random, Math.min(BACKOFF_LIMIT, doubled), BACKOFF_JITTER);
-  return retryAfter === null ? spread : retryAfter + spread;
+  const exponential = BACKOFF_BASE * 2 ** Math.max(0, fruitlessAttempts - 1);
+  const jittered = jitter(random, Math.min(BACKOFF_LIMIT, exponential), BACKOFF_JITTER);
+  return retryAfter === null ? jittered : retryAfter + jittered;
 }
--- a/packages/requests/src/RequestLimits.ts
+++ b/packages/requests/src/RequestLimits.ts
@@ -1,23 +1,23 @@
 /**
- * How many requests may run at once through this instance. The limit follows the measured capacity:
- * it rises while it is reached and tokens come in time, and falls when they come late or engines refuse.
- * Each instance adapts alone; additive rise and multiplicative fall bring them to equal parts.
+ * Adaptive concurrency limit of this instance. The limit rises while it is reached and tokens are in time,
+ * and falls when tokens are late or engines refuse requests. Each instance adapts independently; additive
+ * increase with multiplicative decrease (AIMD) converges to equal shares.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-/** Limit with what was seen since it was last set. */
+/** The limit, and the measurements of the current window. */
 export interface ConcurrencyLimit {
   readonly limit: number;
-  /** Whether the limit has never had to fall: it doubles until then. */
+  /** Whether the limit has never been lowered; until then, each increase doubles it. */
   readonly isStarting: boolean;
-  /** Least mean gap seen lately: what the engines do without crowding. */
+  /** Lowest recent mean gap between tokens, an estimate for engines without contention. */
   readonly baseGap: Millis;
   readonly windowStart: Millis;
   readonly gaps: number;
   readonly gapSum: Millis;
   readonly lateGaps: number;
-  readonly firsts: number;
-  readonly lateFirsts: number;
+  readonly firstTokens: number;
+  readonly lateFirstTokens: number;
   readonly refusals: number;
   readonly reached: boolean;
 }
@@ -27,9 +27,9 @@
   readonly initial: number;
   readonly least: number;
   readonly most: number;
-  /** Gap between tokens that 95 in 100 must keep. */
+  /** Target gap between tokens, to be met by 95 in 100. */
   readonly gapTarget: Millis;
-  /** Time from submission to first token that 95 in 100 must keep. */
+  /** Target time from submission to first token, to be met by 95 in 100. */
   readonly firstTokenTarget: Millis;
 }
 
@@ -43,16 +43,20 @@
 
 const WINDOW: Millis = 500;
 const LATE_SHARE = 0.05;
-const FALL = 0.85;
-const RISE_SHARE = 0.05;
-/** Engines slower than the target by themselves must not drive the limit to nothing. */
-const BASE_GAPS = 1.6;
-/** Share of the first-token target that may pass between admission and first token. */
-const ADMITTED_SHARE = 0.5;
+const DECREASE_FACTOR = 0.85;
+const INCREASE_SHARE = 0.05;
+/**
+ * Gaps up to this multiple of the base gap are never late: engines that miss the target even without
+ * contention would otherwise drive the limit to its minimum.
+ */
+const BASE_GAP_FACTOR = 1.6;
+/** Share of the first-token target allowed between admission and first token; the rest is for queueing. */
+const ADMITTED_TARGET_SHARE = 0.5;
+/** Growth of the base gap per window, so that it can follow engines that become slower. */
 const BASE_GAP_DRIFT = 1.02;
-const LEAST_SAMPLES = 20;
+const MIN_SAMPLES = 20;
 
-/** The limit before anything was seen. */
+/** Creates the initial limit with an empty window. */
 export function createConcurrencyLimit(cfg: LimitConfig, now: Millis): ConcurrencyLimit {
   return {
     limit: cfg.initial,
@@ -62,19 +66,19 @@
     gaps: 0,
     gapSum: 0,
     lateGaps: 0,
-    firsts: 0,
-    lateFirsts: 0,
+    firstTokens: 0,
+    lateFirstTokens: 0,
     refusals: 0,
     reached: false,
   };
 }
 
-/** Takes in the gap between two tokens. */
+/** Records the gap between two tokens. */
 export function noteGap(limit: ConcurrencyLimit, cfg: LimitConfig, gap: Millis): ConcurrencyLimit {
   const allowed = Number.isFinite(limit.baseGap)
-    ? Math.max(cfg.gapTarget, limit.baseGap * BASE_GAPS)
+    ? Math.max(cfg.gapTarget, limit.baseGap * BASE_GAP_FACTOR)
     : cfg.gapTarget;
-  // Once a token: naming the fields is many times cheaper than a spread with some replaced.
+  // Hot path, called for each token: listing the fields is many times faster than an object spread.
   return {
     limit: limit.limit,
     isStarting: limit.isStarting,
@@ -83,38 +87,38 @@
     gaps: limit.gaps + 1,
     gapSum: limit.gapSum + gap,
     lateGaps: limit.lateGaps + (gap > allowed ? 1 : 0),
-    firsts: limit.firsts,
-    lateFirsts: limit.lateFirsts,
+    firstTokens: limit.firstTokens,
+    lateFirstTokens: limit.lateFirstTokens,
     refusals: limit.refusals,
     reached: limit.reached,
   };
 }
 
-/** Takes in the time from admission to first token. */
+/** Records the time from admission to first token. */
 export function noteFirstToken(
   limit: ConcurrencyLimit,
   cfg: LimitConfig,
   wait: Millis,
 ): ConcurrencyLimit {
-  const isLate = wait > cfg.firstTokenTarget * ADMITTED_SHARE;
+  const isLate = wait > cfg.firstTokenTarget * ADMITTED_TARGET_SHARE;
   return {
     ...limit,
-    firsts: limit.firsts + 1,
-    lateFirsts: limit.lateFirsts + (isLate ? 1 : 0),
+    firstTokens: limit.firstTokens + 1,
+    lateFirstTokens: limit.lateFirstTokens + (isLate ? 1 : 0),
   };
 }
 
-/** Takes in that engines refused work, or had no memory for it. */
+/** Records that engines refused a request or had no memory for it. */
 export function noteRefusal(limit: ConcurrencyLimit): ConcurrencyLimit {
   return { ...limit, refusals: limit.refusals + 1 };
 }
 
-/** Takes in that work waited because the limit was reached. */
+/** Records that a request had to wait because of the limit. */
 export function noteReached(limit: ConcurrencyLimit): ConcurrencyLimit {
   return limit.reached ? limit : { ...limit, reached: true };
 }
 
-/** Sets the limit anew once a window is full. */
+/** Adjusts the limit at the end of each window. */
 export function adaptLimit(
   limit: ConcurrencyLimit,
   cfg: LimitConfig,
@@ -125,26 +129,30 @@
   }
   const meanGap = limit.gaps > 0 ? limit.gapSum / limit.gaps : Infinity;
   const isLate =
-    (limit.gaps >= LEAST_SAMPLES && limit.lateGaps > LATE_SHARE * limit.gaps) ||
-    (limit.firsts > 0 && limit.lateFirsts > LATE_SHARE * limit.firsts + 1);
-  const isOver = isLate || limit.refusals > LATE_SHARE * (limit.firsts + limit.refusals);
+    (limit.gaps >= MIN_SAMPLES && limit.lateGaps > LATE_SHARE * limit.gaps) ||
+    (limit.firstTokens > 0 && limit.lateFirstTokens > LATE_SHARE * limit.firstTokens + 1);
+  const isOverloaded = isLate || limit.refusals > LATE_SHARE * (limit.firstTokens + limit.refusals);
   return {
     ...createConcurrencyLimit(cfg, now),
-    limit: moveLimit(limit, cfg, isOver),
-    isStarting: limit.isStarting && !isOver,
+    limit: computeNextLimit(limit, cfg, isOverloaded),
+    isStarting: limit.isStarting && !isOverloaded,
     baseGap: Math.min(limit.baseGap * BASE_GAP_DRIFT, meanGap),
   };
 }
 
-function moveLimit(limit: ConcurrencyLimit, cfg: LimitConfig, isOver: boolean): number {
-  if (isOver) {
-    return Math.max(cfg.least, limit.limit * FALL);
+function computeNextLimit(
+  limit: ConcurrencyLimit,
+  cfg: LimitConfig,
+  isOverloaded: boolean,
+): number {
+  if (isOverloaded) {
+    return Math.max(cfg.least, limit.limit * DECREASE_FACTOR);
   }
   if (!limit.reached) {
     return limit.limit;
   }
-  const risen = limit.isStarting
+  const raised = limit.isStarting
     ? limit.limit * 2
-    : limit.limit + Math.max(1, limit.limit * RISE_SHARE);
-  return Math.min(cfg.most, risen);
+    : limit.limit + Math.max(1, limit.limit * INCREASE_SHARE);
+  return Math.min(cfg.most, raised);
 }
--- a/packages/requests/src/RequestMachine.ts
+++ b/packages/requests/src/RequestMachine.ts
@@ -1,7 +1,6 @@
 /**
- * The state machine of one model request, from submission to its one end. Pure: an event and the time
- * go in, the next state and the effects come out. The tokens themselves stay with the router; the
- * machine counts them.
+ * The state machine of one model request, from submission to its single end. Pure: it maps a state, an event and the
+ * time to the next state and effects. The router keeps the tokens; the machine only counts them.
  */
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
@@ -12,7 +11,7 @@
 import { dropFrame, endWith, failWith, getFirstTokenDeadline, keepState } from './RequestState.js';
 import { ProblemKind } from './RequestTypes.js';
 
-/** Takes one event. Events of an earlier attempt, or after the end, change nothing but a count. */
+/** Handles one event. Events of an earlier attempt, or after the end, are only counted. */
 export function stepRequest(
   machine: RequestMachine,
   event: RequestEvent,
@@ -64,7 +63,7 @@
         ? failWith(machine, ProblemKind.EngineFailed, null)
         : keepState(machine);
     case 'patience-over':
-      return endPatience(machine);
+      return failIfNotStarted(machine);
     case 'hang-up':
       return failWith(machine, ProblemKind.HungUp, null);
     case 'deadline':
@@ -76,8 +75,8 @@
   }
 }
 
-/** Ends a request that has no answer yet; its caller is about to leave, and can still go elsewhere. */
-function endPatience(machine: RequestMachine): MachineStep {
+/** Ends a request without a token before its caller leaves, so that the caller can still retry elsewhere. */
+function failIfNotStarted(machine: RequestMachine): MachineStep {
   if (getFirstTokenDeadline(machine) === null) {
     return keepState(machine);
   }
@@ -118,18 +117,18 @@
   if (machine.phase !== RequestPhase.Choosing) {
     return keepState(machine);
   }
-  if (machine.tokenCount === 0 && (isTooLate || !mayWait(machine, isFull, now))) {
+  if (machine.tokenCount === 0 && (isTooLate || !mayLookAgain(machine, isFull, now))) {
     return failWith(machine, ProblemKind.NoChain, retryAfter);
   }
-  // Avoiding every engine that failed may leave none at all; a paused answer is then better served by
-  // one of them, should it be back, than by no one.
+  // Avoiding every failed engine may leave none. The next choice may use them again: if one has recovered, a paused
+  // answer is better served by it than by none.
   return {
     machine: { ...machine, phase: RequestPhase.Pausing, avoid: [] },
     effects: [{ kind: 'ask-retry', mode: 'rechoose', failed: [], retryAfter, fruitless: 1 }],
   };
 }
 
-/** Whether a request without an answer looks for a chain once more. */
-function mayWait(machine: RequestMachine, isFull: boolean, now: Millis): boolean {
+/** Whether a request without a token may look for a chain again. */
+function mayLookAgain(machine: RequestMachine, isFull: boolean, now: Millis): boolean {
   return machine.patientUntil === null ? isFull || machine.attempt > 0 : now < machine.patientUntil;
 }
--- a/packages/requests/src/RequestMessages.ts
+++ b/packages/requests/src/RequestMessages.ts
@@ -1,4 +1,4 @@
-/** Events that the machine of a request takes, and effects that it returns. */
+/** Input events and output effects of a request's state machine. */
 import type { Chain, Stage } from '@skylarksail/core/CoreChain';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { FailureClassName } from './RequestFailures.js';
@@ -11,37 +11,37 @@
 import type { SilenceBounds } from './RequestPace.js';
 import type { AttemptOutcome, RequestProblem } from './RequestTypes.js';
 
-/** Where a request stands. */
+/** Phase of a request. */
 export const RequestPhase = {
   /** In the queue, or its key is being claimed. */
   Waiting: 'waiting',
-  /** A chain has been asked for. */
+  /** A chain has been requested. */
   Choosing: 'choosing',
   /** An attempt is open. */
   Running: 'running',
-  /** Between attempts. */
+  /** Waiting between attempts. */
   Pausing: 'pausing',
   Ended: 'ended',
 } as const;
 
 export type RequestPhaseName = (typeof RequestPhase)[keyof typeof RequestPhase];
 
-/** Silence that an attempt is allowed, and the gap that its tokens are expected to have. */
+/** Silence timeouts of an attempt, and the expected gap between its tokens. */
 export interface SilenceLimits {
   readonly acknowledgement: Millis;
   readonly firstToken: Millis;
   readonly gap: Millis;
-  /** Bounds of the silence between tokens. */
+  /** Bounds of the silence timeout between tokens. */
   readonly gapBounds: SilenceBounds;
 }
 
-/** What happened. Events with an attempt number come from an attempt; the others from ourselves. */
+/** Events with an attempt number come from an attempt; the others come from the router. */
 export type RequestEvent =
   | { readonly kind: 'admitted' }
   | { readonly kind: 'refused'; readonly problem: RequestProblem }
-  /** An earlier request with the key got this answer. */
+  /** An earlier request with the same key has this answer. */
   | { readonly kind: 'answer-held'; readonly answer: string }
-  /** The request was found to crash engines. */
+  /** The request is classified as a poison request. */
   | { readonly kind: 'condemned' }
   | {
       readonly kind: 'chosen';
@@ -52,7 +52,7 @@
   | {
       readonly kind: 'no-chain';
       readonly isFull: boolean;
-      /** Whether there are chains, and it would begin at none before its caller leaves. */
+      /** Whether chains exist, but none would start the request before its caller leaves. */
       readonly isTooLate: boolean;
       readonly retryAfter: Millis;
     }
@@ -77,49 +77,49 @@
       readonly kind: 'failure';
       readonly attempt: number;
       readonly failure: AttemptFailure;
-      /** Engines that may be to blame, where the failure names none. */
+      /** Engines that may have caused the failure, if the failure names none. */
       readonly suspects: readonly EngineId[];
-      /** Whether tokens came too slowly, as against not at all. */
+      /** Whether tokens arrived too slowly, as opposed to not at all. */
       readonly isSlow: boolean;
     }
-  /** The timer of the last `watch`; `dueAt` is when it should have fired. */
+  /** The timer of the last `watch` fired; `dueAt` is when it was due. */
   | { readonly kind: 'tick'; readonly dueAt: Millis }
-  /** A silent attempt is left to go on. */
+  /** A silent attempt is allowed to continue. */
   | { readonly kind: 'silence-borne' }
-  /** The same where nothing can follow the attempt now; something may after `delay`. */
+  /** A silent attempt continues because no other attempt can replace it now; check again after `delay`. */
   | { readonly kind: 'look-again'; readonly delay: Millis }
-  /** The answer has stood still for too long, and no other attempt can follow. */
+  /** The answer has stalled for too long, and no other attempt can replace this one. */
   | { readonly kind: 'stood-still' }
   | { readonly kind: 'retry-granted'; readonly failed: readonly EngineId[] }
   | { readonly kind: 'retry-refused'; readonly retryAfter: Millis | null }
-  /** The retry budget is spent; the caller may come back by itself. */
+  /** The retry budget is exhausted; the caller may retry on its own. */
   | { readonly kind: 'budget-spent'; readonly retryAfter: Millis }
-  /** The answer must have begun by now, as its caller leaves soon after. */
+  /** The first token is due now, as the caller leaves soon after. */
   | { readonly kind: 'patience-over' }
   | { readonly kind: 'hang-up' }
   | { readonly kind: 'deadline' }
   | { readonly kind: 'drain-limit' };
 
-/** Why a request is given up after a failed attempt. */
+/** Why a request is not attempted again. */
 export const GiveUpReason = {
-  /** It ran on as many engines as its route allows. */
+  /** It ran on the maximum number of engines that its route allows. */
   AttemptsSpent: 'attempts-spent',
   /** It may have run, and must not run twice. */
   MustNotRepeat: 'must-not-repeat',
-  /** Too many attempts in a row gave nothing, or its caller's patience is over. */
+  /** Too many consecutive attempts produced no token, or the wait for engines is over. */
   Fruitless: 'fruitless',
-  /** The next attempt would come after its caller's deadline, or when the caller has left. */
+  /** The next attempt would start after the deadline, or after the caller has left. */
   DeadlineNear: 'deadline-near',
-  /** Its caller has got nothing for too long, and may be better served elsewhere. */
+  /** Its caller has received no token for too long, and may be better served elsewhere. */
   Standstill: 'standstill',
 } as const;
 
 export type GiveUpReasonName = (typeof GiveUpReason)[keyof typeof GiveUpReason];
 
-/** What is asked of the router: a recovery slot, a retry out of the budget, or another look for a chain. */
+/** What the router is asked for: a recovery slot, a retry from the budget, or another chain choice. */
 export type RetryMode = 'recover' | 'retry' | 'rechoose';
 
-/** What is to be done. */
+/** An action that the router carries out for the request. */
 export type RequestEffect =
   | {
       readonly kind: 'choose';
@@ -133,7 +133,7 @@
       readonly chain: Chain;
       readonly importFrom: readonly Stage[];
     }
-  /** The attempt is over; cancels it if it still runs. */
+  /** Closes the attempt, and cancels it if it is still running. */
   | { readonly kind: 'close'; readonly outcome: AttemptOutcome }
   | {
       readonly kind: 'token';
@@ -143,9 +143,9 @@
       readonly since: Millis;
       readonly isFirst: boolean;
     }
-  /** Sends a tick after `delay`. */
+  /** Schedules a `tick` after `delay`. */
   | { readonly kind: 'watch'; readonly delay: Millis }
-  /** The attempt was silent too long: find the suspects and send a failure. */
+  /** The silence timeout of the attempt expired: decide whether it failed, and report that as an event. */
   | { readonly kind: 'silent'; readonly attempt: number }
   | {
       readonly kind: 'ask-retry';
@@ -160,19 +160,19 @@
       readonly place: FailurePlaceName;
       readonly failureClass: FailureClassName;
       readonly engines: readonly EngineId[];
-      /** Whether an engine's process seems to have died while it ran the request. */
+      /** Whether an engine's process probably crashed while it ran the request. */
       readonly isCrash: boolean;
-      /** Whether the engine answered that it does not take the work. */
+      /** Whether the engine refused the request. */
       readonly isRefusal: boolean;
       readonly isLost: boolean;
-      /** Tokens that the attempt gave. */
+      /** Tokens that the attempt produced. */
       readonly attemptTokens: number;
-      /** From the last sign of life to now. */
+      /** Time from the last activity to the detection. */
       readonly detection: Millis;
     }
-  /** The first token after a failure: since its attempt was opened, and since the caller's last one. */
+  /** The first token after a failure, with the time since its attempt opened and since the caller's last token. */
   | { readonly kind: 'recovered'; readonly firstToken: Millis; readonly pause: Millis }
-  /** No attempt follows; `fail` comes next. */
+  /** No other attempt is made; followed by `fail`. */
   | { readonly kind: 'given-up'; readonly reason: GiveUpReasonName }
   | { readonly kind: 'complete'; readonly reason: FinishReason }
   | { readonly kind: 'replay'; readonly answer: string }
--- a/packages/requests/src/RequestPace.ts
+++ b/packages/requests/src/RequestPace.ts
@@ -1,17 +1,17 @@
 /**
- * How long a stream may be silent. Mean and deviation of the observed gaps give the limit, as in the
- * retransmission timer of TCP, so that a hung stage shows within a few gaps and not after a timeout.
+ * Adaptive silence timeout of a stream, computed from the mean and deviation of the observed gaps as in TCP's
+ * retransmission timer. A hung stage is detected within a few gaps instead of after a fixed timeout.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-/** Running mean and mean deviation of a time. */
+/** Exponentially weighted mean and mean deviation of a duration. */
 export interface Pace {
   readonly mean: Millis;
   readonly deviation: Millis;
   readonly samples: number;
 }
 
-/** Bounds of a silence limit. */
+/** Bounds of a silence timeout. */
 export interface SilenceBounds {
   readonly least: Millis;
   readonly most: Millis;
@@ -19,23 +19,23 @@
 
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-const DEVIATIONS = 6;
-const MEANS = 3;
+const DEVIATION_FACTOR = 6;
+const MEAN_FACTOR = 3;
 
-/** Bounds of the silence that an attempt is allowed, by how far it got. */
+/** Bounds of the silence timeouts of an attempt, by its progress. */
 export interface SilenceConfig {
-  /** Until the acknowledgement. */
+  /** Before the acknowledgement. */
   readonly acknowledgement: SilenceBounds;
-  /** From there to the first token. */
+  /** From the acknowledgement to the first token. */
   readonly firstToken: SilenceBounds;
   /** Between tokens. */
   readonly gap: SilenceBounds;
   /**
-   * Silences that are borne where the other streams do not tell which engine is to blame. With one chain
-   * a domain they never do, and an answer must go on elsewhere before its caller leaves.
+   * Silence timeouts to tolerate while the other streams do not show which engine is at fault. With one chain per
+   * domain they never do, and the answer must continue elsewhere before its caller leaves.
    */
   readonly mostUnclear: number;
-  /** A stream whose tokens come faster than this is never moved for being slow. */
+  /** A stream with a smaller mean gap than this is never moved as slow. */
   readonly leastSlowGap: Millis;
 }
 
@@ -47,12 +47,12 @@
   leastSlowGap: 20,
 };
 
-/** A pace before the first sample, guessed from `mean`. */
+/** Creates a pace without samples from an expected mean. */
 export function createPace(mean: Millis): Pace {
   return { mean, deviation: mean / 2, samples: 0 };
 }
 
-/** Takes in one observed time. */
+/** Adds an observed duration. */
 export function addSample(pace: Pace, sample: Millis): Pace {
   if (pace.samples === 0) {
     return { mean: sample, deviation: sample / 2, samples: 1 };
@@ -65,8 +65,11 @@
   };
 }
 
-/** Silence after which a stream counts as stuck. */
+/** Returns the silence after which a stream counts as stuck. */
 export function computeSilenceLimit(pace: Pace, bounds: SilenceBounds): Millis {
-  const usual = Math.max(pace.mean * MEANS, pace.mean + pace.deviation * DEVIATIONS);
-  return Math.min(bounds.most, Math.max(bounds.least, usual));
+  const adaptiveLimit = Math.max(
+    pace.mean * MEAN_FACTOR,
+    pace.mean + pace.deviation * DEVIATION_FACTOR,
+  );
+  return Math.min(bounds.most, Math.max(bounds.least, adaptiveLimit));
 }
--- a/packages/requests/src/RequestPoison.ts
+++ b/packages/requests/src/RequestPoison.ts
@@ -1,35 +1,36 @@
 /**
- * Requests that crash the engines that run them, known by team, model and content. Pure state: reports
- * of crashes with the requests that the engine ran, taken in from here and from other instances.
+ * Detects poison requests: requests that crash the engines that run them, identified by team, model and
+ * content. Pure state of crash reports, from this and from other instances, each with the requests that
+ * ran on the engine.
  *
- * A crash proves nothing against any one of its suspects. A request is condemned once it is the only one
- * that was there at two crashes; suspects are recovered on different engines, so that the second crash
- * has one of them at most. A request that gets on after a crash is cleared of it, and a crash is struck
- * out when its engine turns up with the same process: then only a link had gone.
+ * A single crash does not show which of its suspects caused it. A request is condemned once it is the only
+ * common suspect of `crashLimit` crashes (2 by default); suspects are recovered on different engines, so
+ * that a second crash has at most one of them. A request that makes progress after a crash is cleared of
+ * it. A crash is disproven if the same process of the engine is seen again: then only a link had failed.
  */
 import { hash64Hex } from '@skylarksail/core/CoreHash';
 import type { EngineId, Millis, ModelId, TeamId } from '@skylarksail/core/CoreTypes';
 
-/** Name of a request's content. */
+/** Hash that identifies a request by team, model and content. */
 export type Fingerprint = string;
 
-/** An engine's process that ended: engine and boot id. */
+/** Identifies a crashed engine process: engine and boot id. */
 export type CrashId = string;
 
-/** A crash as instances tell each other. */
+/** Report of a crash, exchanged between instances. */
 export interface CrashReport {
   readonly crash: CrashId;
-  /** Age of the report; the greater one of two is kept. */
+  /** Age of the report; merging keeps the greater age. */
   readonly age: Millis;
   /** Whether the engine's process was seen alive afterwards. */
   readonly disproven: boolean;
   /** Requests that ran on the engine. */
   readonly suspects: readonly Fingerprint[];
-  /** Suspects that got on elsewhere. */
+  /** Suspects that made progress after the crash. */
   readonly cleared: readonly Fingerprint[];
 }
 
-/** What instances exchange. Merging it is commutative and idempotent: sets only grow. */
+/** Reports exchanged between instances. Merging is commutative and idempotent, since sets only grow. */
 export interface PoisonDigest {
   readonly reports: readonly CrashReport[];
 }
@@ -41,62 +42,63 @@
   readonly cleared: ReadonlySet<Fingerprint>;
 }
 
-/** What this instance knows of crashes. */
+/** Crashes known to this instance. */
 export interface PoisonState {
   readonly crashes: ReadonlyMap<CrashId, Crash>;
-  /** Crashes after which a request is refused. */
+  /** Number of crashes after which a request is refused. */
   readonly crashLimit: number;
 }
 
-/** How a request stands. */
+/** Assessment of a request. */
 export const PoisonVerdict = {
   Clean: 'clean',
-  /** It was at a crash: run it apart from the others that were. */
+  /** It was running at a crash: run it on other engines than the other suspects of that crash. */
   Suspect: 'suspect',
-  /** It was at as many crashes as condemn, but not alone: begun copies go on apart, new ones wait. */
+  /**
+   * It has reached the crash limit, but shares all its crashes with another suspect: hold new requests with
+   * this content, and continue begun ones on separate engines.
+   */
   Ambiguous: 'ambiguous',
-  /** It seems to crash engines, but other instances may still name who else was there: hold it. */
+  /** It is the only common suspect, but late reports of other instances may add suspects: hold it. */
   Doubted: 'doubted',
-  /** It crashed engines: refuse it. */
+  /** It is the only common suspect of the crashes: refuse it. */
   Condemned: 'condemned',
 } as const;
 
 export type PoisonVerdictName = (typeof PoisonVerdict)[keyof typeof PoisonVerdict];
 
-/** How long a crash counts. */
+/** Time for which a crash is counted. */
 export const CRASH_RETENTION: Millis = 3_600_000;
-const RAN_LONG = '/long';
+const RAN_LONG_SUFFIX = '/long';
 const MAX_CRASHES = 256;
-/** Time in which the other instances' reports of a crash arrive. */
-const SETTLE_TIME: Millis = 500;
-/** Crashes so near to each other, and so many, have a common cause outside. */
+/** Time allowed for the reports of a crash from other instances to arrive. */
+const REPORT_DELAY: Millis = 500;
+/** A crash near this many crashes of unrelated engines is attributed to a common external cause. */
 const OUTAGE_WINDOW: Millis = 1000;
 const OUTAGE_CRASHES = 3;
 
-/** The state before any crash. */
 export function createPoisonState(crashLimit: number): PoisonState {
   return { crashes: new Map(), crashLimit };
 }
 
-/** Names a request by who sends it to which model, and what it says. */
 export function computeFingerprint(team: TeamId, model: ModelId, content: string): Fingerprint {
   return hash64Hex(`${team}\u0000${model}\u0000${content}`);
 }
 
 /**
- * Names the process of an engine that crashed, and whether the suspects had run on it for long. The two
- * kinds are reported apart: what ran long is seldom to blame, and would hide who is.
+ * Identifies a crashed process, and whether the suspects had run on it for long. The two kinds are reported
+ * separately: long-running requests are rarely the cause and would obscure the request that is.
  */
 export function createCrashId(engine: EngineId, bootId: string, ranLong: boolean): CrashId {
-  return ranLong ? `${engine}@${bootId}${RAN_LONG}` : `${engine}@${bootId}`;
+  return ranLong ? `${engine}@${bootId}${RAN_LONG_SUFFIX}` : `${engine}@${bootId}`;
 }
 
-/** The engine's process, whichever suspects a crash's report is of. */
+/** Returns the process of a crash id, without the mark for long-running suspects. */
 function getCrashedProcess(id: CrashId): string {
-  return id.endsWith(RAN_LONG) ? id.slice(0, -RAN_LONG.length) : id;
+  return id.endsWith(RAN_LONG_SUFFIX) ? id.slice(0, -RAN_LONG_SUFFIX.length) : id;
 }
 
-/** Notes that a request was on an engine when it crashed. */
+/** Records that a request was running on an engine when it crashed. */
 export function noteCrash(
   state: PoisonState,
   crash: CrashId,
@@ -110,7 +112,7 @@
   );
 }
 
-/** Notes that an engine's process is alive, so that what looked like its crash was none. */
+/** Records that an engine process is alive, which disproves its assumed crash. */
 export function noteAlive(state: PoisonState, crash: CrashId): PoisonState {
   const known = state.crashes.get(crash);
   if (!known || known.disproven) {
@@ -119,7 +121,7 @@
   return withCrash(state, crash, { ...known, disproven: true });
 }
 
-/** Notes that a request got on after the crashes that it was at. */
+/** Records that a request made progress after its crashes, which clears it of them. */
 export function noteSurvival(state: PoisonState, suspect: Fingerprint): PoisonState {
   let next = state;
   for (const [id, crash] of state.crashes) {
@@ -130,13 +132,12 @@
   return next;
 }
 
-/** How a request stands now. */
 export function judgeRequest(
   state: PoisonState,
   fingerprint: Fingerprint,
   now: Millis,
 ): PoisonVerdictName {
-  const counted = listCounted(state, fingerprint, now);
+  const counted = listCountedCrashes(state, fingerprint, now);
   if (counted.length === 0) {
     return PoisonVerdict.Clean;
   }
@@ -148,27 +149,27 @@
   }
   const newest = Math.max(...counted.map((crash) => crash.expiresAt));
   const age = CRASH_RETENTION - (newest - now);
-  return age < SETTLE_TIME ? PoisonVerdict.Doubted : PoisonVerdict.Condemned;
+  return age < REPORT_DELAY ? PoisonVerdict.Doubted : PoisonVerdict.Condemned;
 }
 
-/** Requests that were at a crash together with this one and are not cleared: not to run beside it. */
+/** Lists uncleared suspects that share a crash with the request and should run on other engines. */
 export function listCoSuspects(
   state: PoisonState,
   fingerprint: Fingerprint,
   now: Millis,
 ): ReadonlySet<Fingerprint> {
-  const fellows = new Set<Fingerprint>();
-  for (const crash of listCounted(state, fingerprint, now)) {
+  const coSuspects = new Set<Fingerprint>();
+  for (const crash of listCountedCrashes(state, fingerprint, now)) {
     for (const suspect of listUncleared(crash)) {
       if (suspect !== fingerprint) {
-        fellows.add(suspect);
+        coSuspects.add(suspect);
       }
     }
   }
-  return fellows;
+  return coSuspects;
 }
 
-/** What to tell other instances. */
+/** Creates the digest to send to other instances. */
 export function createPoisonDigest(state: PoisonState, now: Millis): PoisonDigest {
   const reports: CrashReport[] = [];
   for (const [crash, known] of state.crashes) {
@@ -185,7 +186,7 @@
   return { reports };
 }
 
-/** Takes in what another instance tells. */
+/** Merges a digest received from another instance. */
 export function mergePoisonDigest(
   state: PoisonState,
   digest: PoisonDigest,
@@ -194,7 +195,7 @@
   return digest.reports.reduce((merged, report) => mergeReport(merged, report, now), state);
 }
 
-/** Whether a digest tells this instance anything new: what is old news need not travel on. */
+/** Whether a digest contains anything new to this instance; otherwise it need not be forwarded. */
 export function isNewDigest(state: PoisonState, digest: PoisonDigest): boolean {
   return digest.reports.some((report) => {
     const known = state.crashes.get(report.crash);
@@ -222,7 +223,7 @@
     });
   }
   return withCrash(state, report.crash, {
-    // The earlier expiry: an old report that travels in circles must still come to its end.
+    // Keeps the earlier expiry, so that a report that circulates between instances still expires.
     expiresAt: Math.min(known.expiresAt, expiresAt),
     disproven: known.disproven || report.disproven,
     suspects: new Set([...known.suspects, ...report.suspects]),
@@ -244,22 +245,26 @@
   return { ...state, crashes: new Map(state.crashes).set(id, crash) };
 }
 
-function listCounted(state: PoisonState, fingerprint: Fingerprint, now: Millis): readonly Crash[] {
+function listCountedCrashes(
+  state: PoisonState,
+  fingerprint: Fingerprint,
+  now: Millis,
+): readonly Crash[] {
   return [...state.crashes.values()].filter(
     (crash) =>
       !crash.disproven &&
       crash.expiresAt > now &&
       crash.suspects.has(fingerprint) &&
       !crash.cleared.has(fingerprint) &&
-      !isOfOutage(state, crash, fingerprint),
+      !isPartOfOutage(state, crash, fingerprint),
   );
 }
 
 /**
- * Whether a crash was one of several at a time that had nothing to do with the request: a rack or a
- * switch that goes takes engines down that never saw it.
+ * Whether a crash was part of an outage unrelated to the request: the loss of a rack or switch also takes
+ * down engines that never ran it.
  */
-function isOfOutage(state: PoisonState, crash: Crash, fingerprint: Fingerprint): boolean {
+function isPartOfOutage(state: PoisonState, crash: Crash, fingerprint: Fingerprint): boolean {
   const engines = new Set<string>();
   const ownEngines = new Set<string>();
   for (const [id, other] of state.crashes) {
@@ -270,7 +275,7 @@
       engines.add(engine);
     }
   }
-  // One crash can have two reports, of those that had run long and of the others.
+  // A crash can have two reports: one of long-running suspects and one of the others.
   const others = [...engines].filter((engine) => !ownEngines.has(engine));
   return others.length >= OUTAGE_CRASHES;
 }
--- a/packages/requests/src/RequestPorts.ts
+++ b/packages/requests/src/RequestPorts.ts
@@ -1,6 +1,6 @@
 /**
- * The ports of a running request: calls to engines and plain services, and claims of keyed requests.
- * Adapters with sockets implement them in the daemon; small fakes do in tests and benches.
+ * Ports of a running request: calls to engines and plain services, and claims of keyed requests. The daemon
+ * implements them with sockets, tests and benchmarks with fakes.
  */
 import type { Chain, ModelVariant, Stage } from '@skylarksail/core/CoreChain';
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
@@ -13,104 +13,104 @@
   Unregister,
 } from '@skylarksail/core/CoreTypes';
 
-/** Where in an attempt a failure showed. */
+/** The point of an attempt at which it failed. */
 export const FailurePlace = {
-  /** No connection; no byte was sent. */
+  /** Connecting failed; no byte was sent. */
   Connect: 'connect',
   /** While the request was being sent. */
   Send: 'send',
-  /** The backend server answered with a refusal before it started. */
+  /** The backend server refused the request before it started. */
   Refused: 'refused',
   /** The acknowledgement named another chain, version or layer range. */
   Acknowledgement: 'acknowledgement',
-  /** The stream broke, or ended without its end frame. */
+  /** The stream broke, or ended without an end frame. */
   Stream: 'stream',
-  /** A frame made no sense. */
+  /** A frame was invalid. */
   Garbage: 'garbage',
-  /** No frame came for too long. */
+  /** No frame arrived within the silence timeout. */
   Silence: 'silence',
-  /** A stage behind the first failed, as the first one says. */
+  /** A stage after the first failed, as reported by the first stage. */
   Stage: 'stage',
 } as const;
 
 export type FailurePlaceName = (typeof FailurePlace)[keyof typeof FailurePlace];
 
-/** What went wrong with an attempt, told by structure and never by message text. */
+/** Structured description of a failed attempt, independent of message texts. */
 export interface AttemptFailure {
   readonly place: FailurePlaceName;
-  /** Backend server that failed, if it is known which. */
+  /** Backend server that failed, if known. */
   readonly engine: EngineId | null;
-  /** HTTP status, if an answer came. */
+  /** HTTP status, if a response arrived. */
   readonly status: number | null;
-  /** Wait that the backend server asked for. */
+  /** Delay that the backend server asked for. */
   readonly retryAfter: Millis | null;
-  /** True only on the backend server's own word, or if no byte left us. */
+  /** True only if the backend server stated it, or if no byte was sent. */
   readonly provenNotRun: boolean;
 }
 
-/** A request as its caller sent it, for engines that take it unchanged in place of a prompt. */
+/** A request as its caller sent it, for engines that take the unchanged request in place of a prompt. */
 export interface OriginalRequest {
   readonly method: string;
-  /** Path with its query. */
+  /** Path with the query string. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** One attempt to run a request, or the rest of it, on a chain of engines. */
+/** One attempt to run a request, or the remainder of it, on a chain of engines. */
 export interface EngineCall {
   readonly request: RequestId;
-  /** Counts up from 1; frames of another attempt are dropped. */
+  /** Attempt number, starting at 1; frames of other attempts are dropped. */
   readonly attempt: number;
   readonly chain: Chain;
   readonly team: TeamId;
-  /** Null where the engines speak our own protocol. */
+  /** Null if the engines use the router's own protocol. */
   readonly original: OriginalRequest | null;
-  /** What the model reads, as the engines take it. */
+  /** The model's input, in the form that the engines take. */
   readonly prompt: string;
-  /** Tokens already given to the caller; generation goes on after them. */
+  /** Tokens already sent to the caller; generation continues after them. */
   readonly resumeTokens: readonly string[];
-  /** Tokens of the whole answer at the most, those resumed included. */
+  /** Maximum number of tokens in the whole answer, including resumed tokens. */
   readonly maxTokens: number;
   readonly priority: PriorityName;
-  /** Time that is left until the caller's deadline. */
+  /** Time left until the caller's deadline. */
   readonly timeLeft: Millis;
-  /** Engines of the earlier chain whose KV cache may be imported, by first layer. */
+  /** Stages of the previous chain whose KV cache may be imported, ordered by first layer. */
   readonly importFrom: readonly Stage[];
 }
 
-/** Status and headers of a backend server's answer, for callers that get them unchanged. */
+/** Status and headers of a backend server's response, for callers that get them unchanged. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   /**
-   * True if the answer has neither a length nor chunks, so that only the end of its connection ends it.
-   * Nobody can tell whether such an answer is whole, and it must not be passed on as if it were known.
+   * True if the response has neither a content length nor chunked encoding, so that only the close of its
+   * connection ends it. Such a response cannot be checked for completeness, and must not be forwarded as complete.
    */
   readonly isUnframed?: boolean;
 }
 
-/** What the first stage says before the first token. */
+/** What the first stage reports before the first token. */
 export interface ChainAcknowledgement {
   readonly variant: ModelVariant;
   readonly stages: readonly Stage[];
-  /** Head of the engine's answer, where the caller speaks the engine's own protocol. */
+  /** Head of the engine's response, if the caller uses the engine's own protocol. */
   readonly head?: AnswerHead;
 }
 
-/** Why a whole answer ended. */
+/** Why a complete answer ended. */
 export type FinishReason = 'stop' | 'length';
 
-/** Hears of one attempt. Exactly one of `onEnd` and `onFailure` comes last, then nothing more. */
+/** Callbacks for one attempt. The last call is exactly one of `onEnd` and `onFailure`. */
 export interface EngineCallListener {
   onAcknowledged(acknowledgement: ChainAcknowledgement): void;
-  /** `index` counts the tokens of the whole answer from 0, those resumed included. */
+  /** `index` is the token's position in the whole answer, from 0 and including resumed tokens. */
   onToken(index: number, token: string): void;
   onEnd(reason: FinishReason, tokenCount: number): void;
   onFailure(failure: AttemptFailure): void;
 }
 
-/** Starts an attempt; the returned function cancels it, also at the engines. */
+/** Starts an attempt. The returned function cancels it, including at the engines. */
 export type OpenEngineCall = (call: EngineCall, listener: EngineCallListener) => Unregister;
 
 /** A call to a plain service. */
@@ -118,7 +118,7 @@
   readonly request: RequestId;
   readonly attempt: number;
   readonly service: ServiceId;
-  /** Backend server that takes it. */
+  /** Backend server that receives the call. */
   readonly server: EngineId;
   readonly team: TeamId;
   readonly priority: PriorityName;
@@ -140,5 +140,5 @@
 
 export type OpenServiceCall = (call: ServiceCall, listener: ServiceCallListener) => Unregister;
 
-/** Claims of keyed requests, as the claims package defines them. */
+/** Claims of keyed requests, as defined by the claims package. */
 export type { ClaimAsk, ClaimOutcome, ClaimPort, ClaimRecord } from '@skylarksail/claims/ClaimPort';
--- a/packages/requests/src/RequestProgress.ts
+++ b/packages/requests/src/RequestProgress.ts
@@ -1,98 +1,99 @@
 /**
- * What the running streams tell of their engines. A silent or slow stream does not say which stage is to
- * blame; the other streams through the same engines do, since those that go on clear their engines.
+ * Tracks the progress of engines across all running streams. A silent or slow stream does not show which stage is at
+ * fault. Other streams through the same engines do: each one that progresses rules its engines out.
  */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 
 interface EngineProgress {
-  lastAt: Millis;
-  /** Least gap in the present and in the last window. */
-  best: Millis;
-  lastBest: Millis;
+  lastTokenAt: Millis;
+  /** Smallest gap in the current window; `previousBestGap` is that of the window before. */
+  bestGap: Millis;
+  previousBestGap: Millis;
   windowStart: Millis;
 }
 
-/** An engine that is kept off. */
+/** A lost engine, excluded until the given time. */
 interface LostEngine {
   readonly until: Millis;
   readonly isDead: boolean;
 }
 
-/** Refusals of an engine in a row, and until when it is kept off for them. */
+/** Number of consecutive refusals of an engine, and the time until which it is excluded. */
 interface Refusals {
   readonly count: number;
   readonly until: Millis;
 }
 
-/** An engine with the least gap that any stream had through it lately. */
+/** An engine, with the smallest recent gap of any stream through it. */
 export interface SlowEngine {
   readonly engine: EngineId;
   readonly bestGap: Millis;
 }
 
-/** Engines to keep off: the dead ones always, the silent ones if there are others. */
+/** Engines to avoid: dead ones always, silent ones if there are others. */
 export interface DownEngines {
   readonly dead: readonly EngineId[];
   readonly silent: readonly EngineId[];
 }
 
-/** Progress of engines as seen from this instance. */
+/** Progress of engines as observed by this instance. */
 export interface ProgressTracker {
-  /** A token came over the chain, `gap` after the one before it; null for the first of an attempt. */
+  /** Records a token from the chain; `gap` is the time since the previous token, null for the first of an attempt. */
   noteToken(chain: Chain, gap: Millis | null, now: Millis): void;
-  /** An engine was lost under a request, or could not be reached; `isDead` unless it was only silent. */
+  /** Records that an engine was lost during a request or was unreachable; `isDead` is false if it was only silent. */
   noteLost(engine: EngineId, isDead: boolean, now: Millis): void;
   /**
-   * An engine refused work. The more often in a row, the longer it is kept off: one that leaves refuses
-   * everything, one whose memory is full all that is new, and each request would find that out again. Answers
-   * that run there go on and say nothing of room for others; only a new one that begins does.
+   * Records that an engine refused work, and excludes it for longer with each consecutive refusal. A draining engine
+   * refuses everything, and one with full memory all new work; without the exclusion each request would repeat the
+   * attempt. Only the first token of an attempt resets the count: answers already running there do not show that the
+   * engine has capacity for new ones.
    */
   noteRefused(engine: EngineId, now: Millis): void;
   /**
-   * Engines lost a short while ago that have given nothing since. Without this list each request of a
-   * lost rack would find out for itself, engine by engine, that they are dead.
+   * Lists engines that were lost or refused work recently and have produced nothing since. Without this list, each
+   * request on a lost rack would detect the dead engines itself, one by one.
    */
   listDown(now: Millis): DownEngines;
   /**
-   * Engines of a chain through which nothing has come since `since`. All of them, or none, tells nothing:
-   * then a link is slow, or no other stream is there to clear an engine.
+   * Returns the engines of a chain that have produced no token since `since`. A result of all engines or none is
+   * inconclusive: a link is slow, or there is no other stream to rule an engine out.
    */
   findSilent(chain: Chain, since: Millis): readonly EngineId[];
-  /** The engine of a chain whose best stream is slowest, the later of two that are equal. */
+  /** Returns the engine of a chain with the largest best gap, the later one in the chain on a tie. */
   findSlowest(chain: Chain, now: Millis): SlowEngine | null;
-  /** Median over the engines of their best gap lately; null while fewer than three are known. */
+  /** Returns the median over engines of their recent best gap; null if fewer than three are known. */
   getMedianGap(now: Millis): Millis | null;
 }
 
-const WINDOW: Millis = 250;
+const GAP_WINDOW: Millis = 250;
 const FORGET_AFTER: Millis = 10_000;
-const LEAST_ENGINES = 3;
-const DOWN_TIME: Millis = 2000;
-/** Refusals of requests that were under way together are one. */
-const REFUSED_TIME: Millis = 250;
-const MOST_REFUSALS = 4;
+const MIN_ENGINES = 3;
+const LOST_ENGINE_COOLDOWN: Millis = 2000;
+/** Exclusion after a first refusal; refusals of concurrent requests during an exclusion are not counted again. */
+const REFUSAL_COOLDOWN: Millis = 250;
+const MAX_REFUSALS = 4;
 
-/** Creates a tracker that knows nothing. */
+/** Creates an empty tracker. */
 export function createProgressTracker(): ProgressTracker {
   const engines = new Map<EngineId, EngineProgress>();
   const lost = new Map<EngineId, LostEngine>();
-  const refusals = new Map<EngineId, Refusals>();
+  const refusalsByEngine = new Map<EngineId, Refusals>();
 
-  function getBest(progress: EngineProgress, now: Millis): Millis {
-    return now - progress.windowStart > 2 * WINDOW
-      ? progress.best
-      : Math.min(progress.best, progress.lastBest);
+  function getBestGap(progress: EngineProgress, now: Millis): Millis {
+    return now - progress.windowStart > 2 * GAP_WINDOW
+      ? progress.bestGap
+      : Math.min(progress.bestGap, progress.previousBestGap);
   }
 
-  /** Engines that refuse; what was refused long ago is forgotten. */
+  /** Lists the engines excluded for refusals, and removes old entries. */
   function listRefusing(now: Millis): EngineId[] {
     const refusing: EngineId[] = [];
-    for (const [engine, { until }] of refusals) {
+    for (const [engine, { until }] of refusalsByEngine) {
       if (now < until) {
         refusing.push(engine);
       } else if (now - until > FORGET_AFTER) {
-        refusals.delete(engine);
+        refusalsByEngine.delete(engine);
       }
     }
     return refusing;
@@ -103,37 +104,37 @@
       for (const { engine } of chain.stages) {
         const known = engines.get(engine);
         const progress = known ?? {
-          lastAt: now,
-          best: Infinity,
-          lastBest: Infinity,
+          lastTokenAt: now,
+          bestGap: Infinity,
+          previousBestGap: Infinity,
           windowStart: now,
         };
         if (!known) {
           engines.set(engine, progress);
         }
-        if (now - progress.windowStart >= WINDOW) {
-          progress.lastBest = progress.best;
-          progress.best = Infinity;
+        if (now - progress.windowStart >= GAP_WINDOW) {
+          progress.previousBestGap = progress.bestGap;
+          progress.bestGap = Infinity;
           progress.windowStart = now;
         }
-        progress.lastAt = now;
+        progress.lastTokenAt = now;
         lost.delete(engine);
         if (gap === null) {
-          refusals.delete(engine);
+          refusalsByEngine.delete(engine);
         }
-        progress.best = Math.min(progress.best, gap ?? Infinity);
+        progress.bestGap = Math.min(progress.bestGap, gap ?? Infinity);
       }
     },
     noteLost(engine, isDead, now) {
-      lost.set(engine, { until: now + DOWN_TIME, isDead });
+      lost.set(engine, { until: now + LOST_ENGINE_COOLDOWN, isDead });
     },
     noteRefused(engine, now) {
-      const before = refusals.get(engine);
+      const before = refusalsByEngine.get(engine);
       if (before && before.until > now) {
         return;
       }
-      const count = Math.min(MOST_REFUSALS, (before?.count ?? 0) + 1);
-      refusals.set(engine, { count, until: now + REFUSED_TIME * 2 ** (count - 1) });
+      const count = Math.min(MAX_REFUSALS, (before?.count ?? 0) + 1);
+      refusalsByEngine.set(engine, { count, until: now + REFUSAL_COOLDOWN * 2 ** (count - 1) });
     },
     listDown(now) {
       const dead = listRefusing(now);
@@ -150,13 +151,13 @@
     findSilent(chain, since) {
       return chain.stages
         .map((stage) => stage.engine)
-        .filter((engine) => (engines.get(engine)?.lastAt ?? -Infinity) <= since);
+        .filter((engine) => (engines.get(engine)?.lastTokenAt ?? -Infinity) <= since);
     },
     findSlowest(chain, now) {
       let slowest: SlowEngine | null = null;
       for (const { engine } of chain.stages) {
         const progress = engines.get(engine);
-        const best = progress ? getBest(progress, now) : -Infinity;
+        const best = progress ? getBestGap(progress, now) : -Infinity;
         if (Number.isFinite(best) && best >= (slowest?.bestGap ?? 0)) {
           slowest = { engine, bestGap: best };
         }
@@ -166,17 +167,17 @@
     getMedianGap(now) {
       const gaps: Millis[] = [];
       for (const [engine, progress] of engines) {
-        if (now - progress.lastAt > FORGET_AFTER) {
+        if (now - progress.lastTokenAt > FORGET_AFTER) {
           engines.delete(engine);
         } else {
-          const best = getBest(progress, now);
+          const best = getBestGap(progress, now);
           if (Number.isFinite(best)) {
             gaps.push(best);
           }
         }
       }
       gaps.sort((a, b) => a - b);
-      return gaps.length < LEAST_ENGINES ? null : (gaps[Math.floor(gaps.length / 2)] ?? null);
+      return gaps.length < MIN_ENGINES ? null : (gaps[Math.floor(gaps.length / 2)] ?? null);
     },
   };
 }
--- a/packages/requests/src/RequestQueue.ts
+++ b/packages/requests/src/RequestQueue.ts
@@ -1,29 +1,28 @@
 /**
- * Weighted fair queue between teams: start-time fair queuing over the teams that wait, and priorities
- * within a team. A team that floods lengthens its own queue only.
+ * Weighted fair queue: start-time fair queuing between teams, and strict priorities within a team. A team
+ * that sends too many requests lengthens only its own queue.
  */
 import { PRIORITY_ORDER } from '@skylarksail/core/CoreConstants';
 import type { RequestId, TeamId } from '@skylarksail/core/CoreTypes';
 
-/** A request that waits. */
+/** A waiting request. */
 export interface QueueEntry {
   readonly id: RequestId;
   readonly team: TeamId;
   /** Weight of the team. */
   readonly share: number;
-  /** Rank of its priority; a higher one goes first. */
+  /** Rank of the priority; higher ranks are served first. */
   readonly rank: number;
   /** Work in tokens. */
   readonly cost: number;
 }
 
-/** Bounds of the queue. */
 export interface QueueBounds {
-  /** Entries of all teams together. */
+  /** Maximum number of entries of all teams. */
   readonly total: number;
 }
 
-/** A place was found, another entry had to go for it, or there is none. */
+/** The entry was queued, was queued in place of an evicted entry, or was rejected. */
 export type PushOutcome =
   | { readonly kind: 'queued' }
   | { readonly kind: 'displaced'; readonly evicted: QueueEntry }
@@ -32,12 +31,12 @@
 /** The waiting requests of one instance. */
 export interface FairQueue {
   push(entry: QueueEntry, teamLimit: number): PushOutcome;
-  /** Takes the next entry, unless `fits` refuses it. */
+  /** Removes and returns the next entry if `fits` accepts it. */
   pop(fits: (entry: QueueEntry) => boolean): QueueEntry | null;
   remove(id: RequestId): void;
   entries(): readonly QueueEntry[];
   size(): number;
-  /** Work that would be served before a new entry of the team and rank, counted at its team's share. */
+  /** Estimated work of all teams that is served before a new entry of the team and rank. */
   getWorkAhead(team: TeamId, share: number, rank: number): number;
 }
 
@@ -46,13 +45,13 @@
   share: number;
   count: number;
   cost: number;
-  /** Virtual time at which the work taken so far is paid for. */
+  /** Virtual finish time of the work dequeued so far. */
   finish: number;
 }
 
-const RANKS = PRIORITY_ORDER.length;
-/** Teams that are idle and owe nothing are forgotten once there are this many. */
-const IDLE_TEAMS = 1024;
+const RANK_COUNT = PRIORITY_ORDER.length;
+/** Above this number of teams, idle teams whose virtual finish time has passed are removed. */
+const CLEANUP_THRESHOLD = 1024;
 
 /** Creates an empty queue. */
 export function createFairQueue(bounds: QueueBounds): FairQueue {
@@ -66,11 +65,11 @@
       found.share = entry.share;
       return found;
     }
-    if (teams.size > IDLE_TEAMS) {
-      forgetIdleTeams();
+    if (teams.size > CLEANUP_THRESHOLD) {
+      removeIdleTeams();
     }
     const created: TeamQueue = {
-      byRank: Array.from({ length: RANKS }, () => []),
+      byRank: Array.from({ length: RANK_COUNT }, () => []),
       share: entry.share,
       count: 0,
       cost: 0,
@@ -80,7 +79,7 @@
     return created;
   }
 
-  function forgetIdleTeams(): void {
+  function removeIdleTeams(): void {
     for (const [id, team] of teams) {
       if (team.count === 0 && team.finish <= virtualTime) {
         teams.delete(id);
@@ -88,10 +87,10 @@
     }
   }
 
-  function insert(entry: QueueEntry): void {
+  function enqueue(entry: QueueEntry): void {
     const team = getTeam(entry);
     if (team.count === 0) {
-      // A team that was idle has saved up nothing, and owes what it took last.
+      // An idle team accumulates no credit, but work it dequeued ahead of virtual time still counts.
       team.finish = Math.max(team.finish, virtualTime);
     }
     team.byRank[entry.rank]?.push(entry);
@@ -100,7 +99,7 @@
     waiting.set(entry.id, entry);
   }
 
-  function take(entry: QueueEntry): void {
+  function dequeue(entry: QueueEntry): void {
     const team = teams.get(entry.team);
     const row = team?.byRank[entry.rank];
     if (!team || !row || !waiting.delete(entry.id)) {
@@ -121,32 +120,37 @@
     return next;
   }
 
-  /** The team that waits with the most work for its share: the one that floods. */
-  function findLongestTeam(): TeamQueue | null {
-    let longest: TeamQueue | null = null;
+  /** Finds the team with the most waiting work relative to its share. */
+  function findMostBackloggedTeam(): TeamQueue | null {
+    let mostBacklogged: TeamQueue | null = null;
     for (const team of teams.values()) {
-      if (team.count > 0 && (!longest || team.cost / team.share > longest.cost / longest.share)) {
-        longest = team;
+      if (
+        team.count > 0 &&
+        (!mostBacklogged || team.cost / team.share > mostBacklogged.cost / mostBacklogged.share)
+      ) {
+        mostBacklogged = team;
       }
     }
-    return longest;
+    return mostBacklogged;
   }
 
-  /** Makes room in a team for a rank: its newest entry of the lowest rank below. */
-  function displaceIn(team: TeamQueue, belowRank: number): QueueEntry | null {
+  /** Finds the entry to evict from a team: the newest of the lowest waiting rank below `belowRank`. */
+  function findEvictionIn(team: TeamQueue, belowRank: number): QueueEntry | null {
     const row = team.byRank.slice(0, belowRank).find((entries) => entries.length > 0);
     return row?.at(-1) ?? null;
   }
 
-  function displaceFor(entry: QueueEntry): QueueEntry | null {
-    const longest = findLongestTeam();
+  function findEvictionFor(entry: QueueEntry): QueueEntry | null {
+    const mostBacklogged = findMostBackloggedTeam();
     const own = getTeam(entry);
-    if (!longest || longest === own) {
-      return displaceIn(own, entry.rank);
+    if (!mostBacklogged || mostBacklogged === own) {
+      return findEvictionIn(own, entry.rank);
     }
     const ownLoad = (own.cost + entry.cost) / own.share;
-    const isWithinShare = ownLoad <= longest.cost / longest.share;
-    return isWithinShare ? displaceIn(longest, RANKS) : displaceIn(own, entry.rank);
+    const isWithinShare = ownLoad <= mostBacklogged.cost / mostBacklogged.share;
+    return isWithinShare
+      ? findEvictionIn(mostBacklogged, RANK_COUNT)
+      : findEvictionIn(own, entry.rank);
   }
 
   return {
@@ -154,15 +158,15 @@
       const team = getTeam(entry);
       const isTeamFull = team.count >= teamLimit;
       if (!isTeamFull && waiting.size < bounds.total) {
-        insert(entry);
+        enqueue(entry);
         return { kind: 'queued' };
       }
-      const evicted = isTeamFull ? displaceIn(team, entry.rank) : displaceFor(entry);
+      const evicted = isTeamFull ? findEvictionIn(team, entry.rank) : findEvictionFor(entry);
       if (!evicted) {
         return { kind: 'full' };
       }
-      take(evicted);
-      insert(entry);
+      dequeue(evicted);
+      enqueue(entry);
       return { kind: 'displaced', evicted };
     },
     pop(fits) {
@@ -174,13 +178,13 @@
       }
       virtualTime = Math.max(virtualTime, team.finish);
       team.finish += entry.cost / team.share;
-      take(entry);
+      dequeue(entry);
       return entry;
     },
     remove(id) {
       const entry = waiting.get(id);
       if (entry) {
-        take(entry);
+        dequeue(entry);
       }
     },
     entries: () => [...waiting.values()],
@@ -195,9 +199,9 @@
         }
       }
       const own = teams.get(team);
-      const before = own ? sumCosts(own.byRank.slice(rank)) : 0;
+      const workAhead = own ? sumCosts(own.byRank.slice(rank)) : 0;
       const debt = own ? Math.max(0, own.finish - virtualTime) * share : 0;
-      return Math.min(total, ((before + debt) * activeShares) / share);
+      return Math.min(total, ((workAhead + debt) * activeShares) / share);
     },
   };
 }
--- a/packages/requests/src/RequestRecovery.ts
+++ b/packages/requests/src/RequestRecovery.ts
@@ -1,24 +1,24 @@
 /**
- * The queue of answers that broke off and wait to go on. Those whose callers have waited longest go
- * first, and only so many at once: the prompts of a whole rack read again at the same time would stop
- * the answers that still run on the engines that are left.
+ * Queue of interrupted answers that wait for recovery. Those whose callers have waited longest go first.
+ * Concurrency is bounded: after the loss of a rack, repeating the prefill of all its prompts at once would
+ * stall the answers that still run on the remaining engines.
  */
 import type { Millis, RequestId } from '@skylarksail/core/CoreTypes';
 import TinyQueue from 'tinyqueue';
 
-/** An answer that waits to be recovered. */
+/** An answer that waits for recovery. */
 export interface RecoveryEntry {
   readonly id: RequestId;
-  /** When its caller last got something. */
+  /** When its caller last received output, or when the request was admitted. */
   readonly waitingSince: Millis;
 }
 
-/** Recoveries that wait and that run. */
+/** Waiting and running recoveries. */
 export interface RecoveryQueue {
   push(entry: RecoveryEntry): void;
-  /** Starts recoveries while fewer than `bound` run; calls `start` for each. */
+  /** Calls `start` for waiting recoveries while fewer than `bound` are running. */
   startNext(bound: number, start: (id: RequestId) => void): void;
-  /** The recovery is over: a token came, it failed again, or its request ended. */
+  /** Removes a recovery that is over: a token arrived, it failed again, or its request ended. */
   finish(id: RequestId): void;
   countWaiting(): number;
   countRunning(): number;
--- a/packages/requests/src/RequestRouter.ts
+++ b/packages/requests/src/RequestRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Owns all running requests of an instance. The daemon turns calls from outside into `submit` and
- * `submitService`, hears the answers through sinks, and lends the ports; nothing else is shared.
+ * Owns all running requests of an instance. The daemon translates external calls into `submit` and
+ * `submitService`, receives the answers through sinks, and supplies the ports; nothing else is shared.
  */
 import { createActiveInterval } from '@skylarksail/core/CoreActivity';
 import { invariant } from '@skylarksail/core/CoreErrors';
@@ -33,24 +33,24 @@
 import { startServiceRun } from './ServiceRunner.js';
 import type { ServiceSink, ServiceSpec } from './ServiceTypes.js';
 
-/** The router as the daemon sees it. */
+/** Interface of the router for the daemon. */
 export interface RequestRouter {
-  /** Runs a model request. Its id must be new. */
+  /** Runs a model request. The id must not be in use. */
   submit(spec: RequestSpec, sink: RequestSink): RequestHandle;
-  /** Runs a call to a plain service. Its id must be new. */
+  /** Runs a call to a plain service. The id must not be in use. */
   submitService(spec: ServiceSpec, sink: ServiceSink): RequestHandle;
   /**
-   * Refuses what is new from now on and resolves once all that was taken has ended. What still runs
-   * after `limit` is told the truth and ended.
+   * Refuses new requests from now on and resolves once all accepted requests have ended. A request that
+   * still runs after `limit` ends with an error that states whether it has run.
    */
   drain(limit: Millis): Promise<void>;
-  /** What is known of requests that crash engines, for the other instances. */
+  /** Digest of the requests that may crash engines, for the other instances. */
   getPoisonDigest(): PoisonDigest;
-  /** Takes in another instance's digest; says whether it held news, which should travel on. */
+  /** Merges another instance's digest; returns whether it held new entries, which should be forwarded. */
   mergePoison(digest: PoisonDigest): boolean;
-  /** An engine was seen alive with this boot id: it had not crashed. */
+  /** Records that an engine is alive with this boot id, so it has not crashed since that boot. */
   noteEngineAlive(engine: string, bootId: string): void;
-  /** Another instance found an engine lost: it is kept off for a moment, where there are others. */
+  /** Another instance found an engine lost: avoids it for a short time if there are other engines. */
   noteEngineLost(engine: EngineId): void;
   getCounts(): RouterCounts;
   /** Stops the router's own timers. */
@@ -58,10 +58,9 @@
 }
 
 const SWEEP_PERIOD: Millis = 100;
-const LEAST_RECOVERIES = 4;
-const STILL_PERIOD: Millis = 10;
+const MIN_RECOVERIES = 4;
+const STALLED_SHARE_MAX_AGE: Millis = 10;
 
-/** Creates a router on its ports. */
 export function createRequestRouter(deps: RouterDeps): RequestRouter {
   const { cfg, timers } = deps;
   const admissionCfg = {
@@ -71,12 +70,12 @@
   };
   const services = new Map<ServiceId, Admission>();
   const serviceRuns = new Map<string, ServiceRun>();
-  const drained: (() => void)[] = [];
+  const drainWaiters: (() => void)[] = [];
   let poison = createPoisonState(cfg.poisonCrashes);
   const budgets = new Map<string, RetryBudget>();
   let isDraining = false;
-  let stillShare = 0;
-  let stillAt = -Infinity;
+  let stalledShare = 0;
+  let stalledShareAt = -Infinity;
   let sweptAt = timers.now();
 
   const shared: RouterShared = {
@@ -105,30 +104,30 @@
     },
     begunWaits: new Map(),
     isDraining: () => isDraining,
-    getStalledShare: getStillShare,
-    startQueuedRecoveries: pumpRecoveries,
+    getStalledShare: readStalledShare,
+    startQueuedRecoveries: startRecoveries,
   };
   const sweeping = createActiveInterval(timers, SWEEP_PERIOD, () => {
     shared.post(sweep);
     return !isIdle();
   });
 
-  function pumpRecoveries(): void {
+  function startRecoveries(): void {
     const bound = Math.max(
-      LEAST_RECOVERIES,
+      MIN_RECOVERIES,
       Math.ceil(shared.admission.countRunning() * cfg.recoveryShare),
     );
     shared.recovery.startNext(bound, (id) => shared.runs.get(id)?.startRecovery());
   }
 
-  function getStillShare(): number {
+  function readStalledShare(): number {
     const now = timers.now();
-    if (now - stillAt >= STILL_PERIOD) {
+    if (now - stalledShareAt >= STALLED_SHARE_MAX_AGE) {
       const runs = [...shared.runs.values()];
-      stillAt = now;
-      stillShare = runs.filter((run) => run.isStalled(now)).length / Math.max(1, runs.length);
+      stalledShareAt = now;
+      stalledShare = runs.filter((run) => run.isStalled(now)).length / Math.max(1, runs.length);
     }
-    return stillShare;
+    return stalledShare;
   }
 
   function getServiceAdmission(service: ServiceId): Admission {
@@ -145,12 +144,12 @@
     const now = timers.now();
     shared.admission.sweep(now);
     services.forEach((admission) => admission.sweep(now));
-    tellPaces(now);
+    reportPaces(now);
     const usualGap = shared.progress.getMedianGap(now);
     if (usualGap !== null) {
       [...shared.runs.values()].forEach((run) => run.checkSlow(usualGap));
     }
-    resolveDrained();
+    resolveIfDrained();
   }
 
   function isIdle(): boolean {
@@ -164,20 +163,20 @@
     }
   }
 
-  function tellPaces(now: Millis): void {
+  function reportPaces(now: Millis): void {
     const paces = [...shared.runs.values()]
       .map((run) => run.takePace(now))
       .filter((pace) => pace !== null);
-    // After a pause of our own all streams look late, and no link is to blame.
+    // After a pause of this process all streams look late, although no link is slow.
     if (now - sweptAt < SWEEP_PERIOD + LATE_TICK_TOLERANCE) {
       deps.links?.notePaces(paces);
     }
     sweptAt = now;
   }
 
-  function resolveDrained(): void {
+  function resolveIfDrained(): void {
     if (isDraining && isIdle()) {
-      drained.splice(0).forEach((resolve) => resolve());
+      drainWaiters.splice(0).forEach((resolve) => resolve());
     }
   }
 
@@ -191,38 +190,38 @@
       invariant(!serviceRuns.has(spec.id), `request ${spec.id} is submitted once`);
       startSweeping();
       const admission = getServiceAdmission(spec.service);
-      let isGone = false;
+      let hasEnded = false;
       const handle = startServiceRun(shared, admission, spec, sink, () => {
-        isGone = true;
+        hasEnded = true;
         serviceRuns.delete(spec.id);
       });
-      if (!isGone) {
+      if (!hasEnded) {
         serviceRuns.set(spec.id, handle);
       }
       return handle;
     },
     drain(limit) {
       isDraining = true;
-      const undoLimit = timers.registerTimeout(limit, () => {
+      const cancelLimit = timers.registerTimeout(limit, () => {
         [...shared.runs.values()].forEach((run) => run.onDrainLimit());
         [...serviceRuns.values()].forEach((run) => run.onDrainLimit());
       });
       return new Promise((resolve) => {
-        drained.push(() => {
-          undoLimit();
+        drainWaiters.push(() => {
+          cancelLimit();
           resolve();
         });
-        resolveDrained();
+        resolveIfDrained();
       });
     },
     getPoisonDigest: () => createPoisonDigest(poison, timers.now()),
     mergePoison(digest) {
-      const isNews = isNewDigest(poison, digest);
+      const hasNews = isNewDigest(poison, digest);
       poison = mergePoisonDigest(poison, digest, timers.now());
-      if (isNews) {
+      if (hasNews) {
         stopCondemned(shared);
       }
-      return isNews;
+      return hasNews;
     },
     noteEngineAlive(engine, bootId) {
       for (const ranLong of [false, true]) {
--- a/packages/requests/src/RequestState.ts
+++ b/packages/requests/src/RequestState.ts
@@ -1,4 +1,4 @@
-/** The state of one model request, and the steps that end it or change nothing. Pure. */
+/** The state of one model request, and the transitions that end it or leave it unchanged. Pure. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import { RunState } from '@skylarksail/core/CoreConstants';
@@ -16,42 +16,42 @@
   readonly idempotent: boolean;
   readonly maxTokens: number;
   readonly submittedAt: Millis;
-  /** Engines that it may still run on. One that was lost under it does not count. */
+  /** Number of further engines that the request may run on. Engines lost during an attempt do not count. */
   readonly attemptsLeft: number;
-  /** Until when it waits for engines that can take it; null if it has no patience of its own. */
+  /** End of the wait for engines that can take the request; null if it has no wait limit of its own. */
   readonly patientUntil: Millis | null;
-  /** By when its answer must begin, as its caller leaves soon after; null if the caller stays. */
+  /** Time by which the first token is due, as the caller leaves soon after; null if the caller stays. */
   readonly firstTokenDeadline: Millis | null;
-  /** Number of the running attempt, or of the last one; 0 before the first. */
+  /** Number of the running or last attempt; 0 before the first. */
   readonly attempt: number;
   readonly chain: Chain | null;
   readonly acknowledged: boolean;
-  /** Tokens given to the caller. */
+  /** Tokens sent to the caller. */
   readonly tokenCount: number;
-  /** Those of them that the present attempt gave. */
+  /** Tokens produced by the current attempt. */
   readonly attemptTokens: number;
-  /** What the attempts that are over have come to. */
+  /** Combined run state of the finished attempts. */
   readonly run: RunStateName;
-  /** Attempts in a row that failed without a token. */
+  /** Consecutive attempts that failed without a token. */
   readonly fruitless: number;
-  /** Engines that failed this request since its last token. */
+  /** Engines that failed for this request since its last token. */
   readonly avoid: readonly EngineId[];
   readonly limits: SilenceLimits;
   readonly pace: Pace;
   readonly openedAt: Millis;
-  /** When the present attempt gave its first token. */
+  /** When the current attempt produced its first token. */
   readonly firstTokenAt: Millis;
-  /** When the caller last got something, or the request was admitted. */
+  /** When the caller last received a token, or the request was admitted. */
   readonly progressAt: Millis;
-  /** When the present attempt last gave a sign of life. */
+  /** When the current attempt last showed activity. */
   readonly lastActivityAt: Millis;
-  /** Silences in a row that were borne. */
+  /** Consecutive silence timeouts after which the attempt was left running. */
   readonly toleratedSilences: number;
-  /** When the last failure showed; null while nothing is being mended. */
+  /** When the last failure was detected; null if no recovery is in progress. */
   readonly failedAt: Millis | null;
 }
 
-/** Next state and what is to be done. */
+/** The next state and the effects to carry out. */
 export interface MachineStep {
   readonly machine: RequestMachine;
   readonly effects: readonly RequestEffect[];
@@ -64,20 +64,21 @@
   gapBounds: DEFAULT_SILENCE_CONFIG.gap,
 };
 
-/** The state of a request that has just been submitted. */
+/** Creates the state of a newly submitted request. */
 export function createRequestMachine(
   spec: Pick<RequestSpec, 'idempotent' | 'maxTokens' | 'maxAttempts' | 'patience' | 'breakAfter'>,
   now: Millis,
 ): RequestMachine {
-  const isPatient = spec.patience !== undefined;
+  const hasChainWait = spec.patience !== undefined;
   return {
     phase: RequestPhase.Waiting,
     idempotent: spec.idempotent,
     maxTokens: spec.maxTokens,
     submittedAt: now,
     attemptsLeft: spec.maxAttempts ?? Infinity,
-    patientUntil: isPatient ? now + spec.patience : null,
-    firstTokenDeadline: isPatient && spec.breakAfter !== undefined ? now + spec.breakAfter : null,
+    patientUntil: hasChainWait ? now + spec.patience : null,
+    firstTokenDeadline:
+      hasChainWait && spec.breakAfter !== undefined ? now + spec.breakAfter : null,
     attempt: 0,
     chain: null,
     acknowledged: false,
@@ -97,7 +98,7 @@
   };
 }
 
-/** By when an answer must begin; null if it has begun, or its caller stays. */
+/** Returns the time by which the first token is due; null if it has come, or the caller stays. */
 export function getFirstTokenDeadline({
   tokenCount,
   firstTokenDeadline: beginBy,
@@ -105,7 +106,7 @@
   return tokenCount === 0 ? beginBy : null;
 }
 
-/** What may be told now of whether the request ran, the open attempt included. */
+/** Returns the run state to report now, including the running attempt. */
 export function getMachineRun(machine: RequestMachine): RunStateName {
   if (machine.tokenCount > 0) {
     return RunState.Ran;
@@ -115,7 +116,7 @@
     : machine.run;
 }
 
-/** Ends the request without an answer, with what is known of whether it ran. */
+/** Ends the request with a failure that carries its current run state. */
 export function failWith(
   machine: RequestMachine,
   kind: ProblemKindName,
@@ -124,7 +125,7 @@
   return endWith(machine, createProblem(kind, getMachineRun(machine), retryAfter));
 }
 
-/** The truth about a request that got no answer. */
+/** Creates the description of a failed request. */
 export function createProblem(
   kind: ProblemKindName,
   run: RunStateName,
@@ -133,7 +134,7 @@
   return { kind, run, retryAfter, instance: null };
 }
 
-/** Ends the request with a problem that is already worded. */
+/** Ends the request with the given problem. */
 export function endWith(machine: RequestMachine, problem: RequestProblem): MachineStep {
   const close: readonly RequestEffect[] =
     machine.phase === RequestPhase.Running
@@ -153,7 +154,7 @@
   return { machine, effects: [{ kind: 'count', name }] };
 }
 
-/** Nothing is to be done. */
+/** Keeps the state and has no effects. */
 export function keepState(machine: RequestMachine): MachineStep {
   return { machine, effects: [] };
 }
--- a/packages/requests/src/RequestTypes.ts
+++ b/packages/requests/src/RequestTypes.ts
@@ -1,10 +1,10 @@
-/** What a caller asks for, what it hears back, and how a request that got no answer is described. */
+/** Types of a submitted request, of its results and of the chain that is chosen for it. */
 import type { Chain, ModelVariant, Stage } from '@skylarksail/core/CoreChain';
 import type { PriorityName, RunStateName } from '@skylarksail/core/CoreConstants';
 import type { EngineId, Millis, ModelId, RequestId, TeamId } from '@skylarksail/core/CoreTypes';
 import type { AnswerHead, FinishReason, OriginalRequest } from './RequestPorts.js';
 
-/** A model request as the router takes it. */
+/** A model request as submitted to the router. */
 export interface RequestSpec {
   readonly id: RequestId;
   readonly team: TeamId;
@@ -12,125 +12,125 @@
   readonly variant: ModelVariant;
   readonly layerCount: number;
   readonly prompt: string;
-  /** Tokens of the prompt, if they were counted; estimated from its length otherwise. */
+  /** Exact token count of the prompt; if left out, it is estimated from the prompt's length. */
   readonly promptTokens?: number;
   readonly maxTokens: number;
   readonly priority: PriorityName;
-  /** Time on the timer service's clock after which the caller no longer wants the answer. */
+  /** Time on the timer service's clock after which the caller no longer needs the answer. */
   readonly deadline: Millis;
   readonly idempotencyKey: string | null;
-  /** Whether running it twice does no harm. */
+  /** Whether the request may safely run twice. */
   readonly idempotent: boolean;
   /**
-   * How long from its submission a request without any answer waits for engines that can take it. Left
-   * out, it is refused at once where its layers are missing, and after a few fruitless attempts.
+   * How long after its submission a request without any token may wait for engines that can take it. If left
+   * out, it is refused at once if layers of its model are missing, and after a few attempts without a token.
    */
   readonly patience?: Millis;
   /**
-   * Silence in a begun answer after which it is broken off, so that its caller can go on elsewhere; left
-   * out, it waits until its deadline.
+   * Time without a token after which a partial answer is cut off, so that its caller can continue elsewhere. If
+   * left out, the answer may stall until the deadline.
    */
   readonly breakAfter?: Millis;
-  /** The caller's own request, where engines take it unchanged. */
+  /** The caller's original request, for engines that take it unchanged. */
   readonly original?: OriginalRequest;
-  /** Engines that it may run on, those that were lost under it not counted; no bound if left out. */
+  /** Maximum number of engines to run on, not counting engines lost during an attempt; unlimited if left out. */
   readonly maxAttempts?: number;
-  /** Hashes of the prompt's prefixes, shortest first, for engines' prefix caches. */
+  /** Hashes of the prompt's prefixes, shortest first, to match the prefix caches of engines. */
   readonly prefixKeys: readonly string[];
 }
 
-/** Why a request ended without a whole answer. */
+/** Why a request ended without a complete answer. */
 export const ProblemKind = {
-  /** Its share is used up; waiting would outlast the deadline or the queue's bound. */
+  /** The team's share is used up; the wait would exceed the deadline or the queue limit. */
   Overloaded: 'overloaded',
   /** The deadline passed. */
   Deadline: 'deadline',
-  /** No chain of engines holds the model. */
+  /** No chain of engines can serve the model. */
   NoChain: 'no-chain',
-  /** Attempts failed and no further one is allowed. */
+  /** Attempts failed, and no other attempt is allowed. */
   EngineFailed: 'engine-failed',
-  /** The request crashed engines and is not run again. */
+  /** The request crashed engines and is not retried. */
   Poison: 'poison',
-  /** An earlier request with the key is still running. */
+  /** An earlier request with the same key is still running. */
   AlreadyRunning: 'already-running',
-  /** An earlier request with the key ran; its answer is no longer held. */
+  /** An earlier request with the same key ran, and its answer is no longer stored. */
   AnswerGone: 'answer-gone',
-  /** Nobody can tell whether an earlier request with the key ran. */
+  /** It is unknown whether an earlier request with the same key ran. */
   OutcomeUnknown: 'outcome-unknown',
-  /** The key was used with other content. */
+  /** The key was already used with different content. */
   KeyMismatch: 'key-mismatch',
-  /** The key is older than claims are kept. */
+  /** The key is older than the retention time of claims. */
   KeyExpired: 'key-expired',
-  /** The key could not be claimed in time. */
+  /** The key could not be claimed before the timeout. */
   ClaimUnavailable: 'claim-unavailable',
   /** The instance is stopping. */
   Draining: 'draining',
-  /** The caller hung up. */
+  /** The caller closed its connection. */
   HungUp: 'hung-up',
 } as const;
 
 export type ProblemKindName = (typeof ProblemKind)[keyof typeof ProblemKind];
 
-/** The truth about a request that got no whole answer. */
+/** Describes the failure of a request without a complete answer. */
 export interface RequestProblem {
   readonly kind: ProblemKindName;
-  /** `not-run` is said on proof only. */
+  /** `not-run` only if proven. */
   readonly run: RunStateName;
-  /** Wait before a resend makes sense, or null if none does. */
+  /** Delay after which a resend is useful; null if a resend is not useful. */
   readonly retryAfter: Millis | null;
-  /** Instance that runs the earlier request, for `already-running`. */
+  /** For `already-running`: the instance that runs the earlier request. */
   readonly instance: string | null;
 }
 
-/** Hears of one request. Exactly one of `onEnd` and `onError` comes last, then nothing more. */
+/** Callbacks for one request. The last call is exactly one of `onEnd` and `onError`. */
 export interface RequestSink {
-  /** Once, before the first token, with the head of the attempt that gave it if it had one. */
+  /** Called once, before the first token, with the answer head of the attempt that produced it, if there is one. */
   onStart(head: AnswerHead | null): void;
-  /** Tokens in order from index 0, each once. */
+  /** Called once for each token, in order from index 0. */
   onToken(index: number, token: string): void;
   onEnd(reason: FinishReason): void;
   onError(problem: RequestProblem): void;
 }
 
-/** A submitted request, held by its caller's connection. */
+/** Handle of a submitted request, owned by its caller's connection. */
 export interface RequestHandle {
-  /** The caller hung up. Unkeyed work stops; keyed work goes on, so that a resend finds its answer. */
+  /** Called when the caller disconnects. Unkeyed work stops; keyed work continues, so a resend finds its answer. */
   cancel(): void;
 }
 
-/** What a chain is wanted for. */
+/** The input of a chain choice. */
 export interface ChainRequest {
   readonly spec: RequestSpec;
-  /** Tokens that the engines must read before the next one: the prompt and the answer so far. */
+  /** Tokens to prefill before the next token: the prompt and the answer so far. */
   readonly contextTokens: number;
-  /** Whether the caller has a part of the answer, and waits for the rest. */
+  /** Whether the caller has received part of the answer. */
   readonly isBegun: boolean;
-  /** Engines that must not be in the chain. */
+  /** Engines to exclude from the chain. */
   readonly avoid: readonly EngineId[];
 }
 
-/** The same for an answer that broke off. */
+/** The input of a chain choice for an interrupted answer. */
 export interface RepairRequest extends ChainRequest {
   readonly broken: Chain;
-  /** Stages of the broken chain to replace; the others keep their KV cache if they stay. */
+  /** Engines of the broken chain to replace; the others keep their KV cache if they stay in the chain. */
   readonly failed: readonly EngineId[];
 }
 
-/** How an attempt ended, for the choice of later ones and the health of engines. */
+/** How an attempt ended, as input to later choices and to the health of engines. */
 export type AttemptOutcome =
   | { readonly kind: 'answered'; readonly firstToken: Millis; readonly meanGap: Millis | null }
-  /** `engine` is null where the blame cannot be put on one. */
+  /** `engine` is null if the failure cannot be attributed to a single engine. */
   | { readonly kind: 'failed'; readonly engine: EngineId | null; readonly cause: FailureCause }
   | { readonly kind: 'cancelled' };
 
-/** What a failed attempt says of the engine. */
+/** What a failed attempt shows about the engine. */
 export type FailureCause = 'lost' | 'silent' | 'slow' | 'refused' | 'broken';
 
-/** What a choice reserved on its engines. */
+/** The capacity that a choice reserved on its engines. */
 export interface ChainHold {
-  /** The prompt has been read. */
+  /** Called when the prompt has been processed. */
   noteFirstToken(): void;
-  /** Gives the reservation back; called once, when the attempt is over. */
+  /** Releases the reservation; called once, when the attempt is over. */
   release(outcome: AttemptOutcome): void;
 }
 
@@ -138,19 +138,19 @@
   | {
       readonly kind: 'chain';
       readonly chain: Chain;
-      /** Engines of the broken chain whose KV cache may be imported. */
+      /** Stages of the broken chain whose KV cache may be imported. */
       readonly importFrom: readonly Stage[];
       readonly hold: ChainHold;
     }
-  /** `isFull` says that engines hold the model but have no room now, so that waiting helps. */
+  /** `isFull` means that engines hold the model but have no capacity now, so that waiting helps. */
   | { readonly kind: 'none'; readonly isFull: boolean; readonly retryAfter: Millis };
 
-export type ChooseChain = (wish: ChainRequest) => ChainChoice;
-export type ChooseRepair = (wish: RepairRequest) => ChainChoice;
+export type ChooseChain = (request: ChainRequest) => ChainChoice;
+export type ChooseRepair = (request: RepairRequest) => ChainChoice;
 
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Tokens of a request's prompt, for costs and expected times. */
+/** Returns the token count of a request's prompt, for cost and time estimates. */
 export function getPromptTokens(spec: Pick<RequestSpec, 'prompt' | 'promptTokens'>): number {
   return spec.promptTokens ?? Math.ceil(spec.prompt.length / CHARACTERS_PER_TOKEN);
 }
--- a/packages/requests/src/RouterMeters.ts
+++ b/packages/requests/src/RouterMeters.ts
@@ -1,4 +1,4 @@
-/** What this instance has measured of each model: times to first token and between tokens, lengths. */
+/** Measurements of each model at this instance: time to first token, gap between tokens, answer length. */
 import type { Millis, ModelId } from '@skylarksail/core/CoreTypes';
 import type { SilenceLimits } from './RequestMessages.js';
 import type { Pace, SilenceConfig } from './RequestPace.js';
@@ -6,10 +6,10 @@
 
 interface ModelMeters {
   readonly acknowledgement: Pace;
-  /** Time to the first token for each unit of prefill work. */
+  /** Time to the first token per unit of prefill work. */
   readonly firstPerUnit: Pace;
   readonly gap: Pace;
-  /** Share of the tokens allowed that answers come to. */
+  /** Mean answer length as a share of `maxTokens`. */
   readonly lengthShare: number;
 }
 
@@ -20,17 +20,17 @@
   noteGap(model: ModelId, gap: Millis): void;
   noteLength(model: ModelId, tokens: number, maxTokens: number): void;
   getSilenceLimits(model: ModelId, contextTokens: number): SilenceLimits;
-  /** Time that a request takes once it runs; 0 until one was measured. */
+  /** Expected duration of a request once it runs; 0 until one was measured. */
   estimateDuration(model: ModelId, contextTokens: number, maxTokens: number): Millis;
-  /** Time to the first token of an attempt that reads `contextTokens`. */
+  /** Expected time to the first token of an attempt that reads `contextTokens`. */
   estimateFirstToken(model: ModelId, contextTokens: number): Millis;
-  /** Tokens that an answer will come to. */
+  /** Expected length of an answer, in tokens. */
   estimateLength(model: ModelId, maxTokens: number): number;
 }
 
-/** Work of a prefill that does not grow with the prompt, in tokens. */
+/** Fixed prefill work, independent of the length of the prompt, in tokens. */
 const PREFILL_BASE = 256;
-const GUESS: ModelMeters = {
+const INITIAL_METERS: ModelMeters = {
   acknowledgement: createPace(100),
   firstPerUnit: createPace(1),
   gap: createPace(40),
@@ -38,18 +38,17 @@
 };
 const LENGTH_WEIGHT = 0.05;
 
-/** Creates meters that have measured nothing. */
 export function createRouterMeters(
   silence: SilenceConfig,
-  lengthShareAtFirst: number,
+  initialLengthShare: number,
 ): RouterMeters {
   const models = new Map<ModelId, ModelMeters>();
 
   function getMeters(model: ModelId): ModelMeters {
-    return models.get(model) ?? { ...GUESS, lengthShare: lengthShareAtFirst };
+    return models.get(model) ?? { ...INITIAL_METERS, lengthShare: initialLengthShare };
   }
 
-  function change(model: ModelId, part: Partial<ModelMeters>): void {
+  function update(model: ModelId, part: Partial<ModelMeters>): void {
     models.set(model, { ...getMeters(model), ...part });
   }
 
@@ -63,15 +62,15 @@
 
   return {
     noteAcknowledgement(model, time) {
-      change(model, { acknowledgement: addSample(getMeters(model).acknowledgement, time) });
+      update(model, { acknowledgement: addSample(getMeters(model).acknowledgement, time) });
     },
     noteFirstToken(model, contextTokens, time) {
       const perUnit = time / (PREFILL_BASE + contextTokens);
-      change(model, { firstPerUnit: addSample(getMeters(model).firstPerUnit, perUnit) });
+      update(model, { firstPerUnit: addSample(getMeters(model).firstPerUnit, perUnit) });
     },
     noteGap(model, gap) {
       const { acknowledgement, firstPerUnit, gap: pace, lengthShare } = getMeters(model);
-      // Once a token: naming the fields is cheaper than the two spreads of `change`.
+      // Runs once per token: naming the fields is cheaper than the two spreads of `update`.
       models.set(model, {
         acknowledgement,
         firstPerUnit,
@@ -81,8 +80,8 @@
     },
     noteLength(model, tokens, maxTokens) {
       const { lengthShare } = getMeters(model);
-      const seen = tokens / Math.max(1, maxTokens);
-      change(model, { lengthShare: lengthShare + LENGTH_WEIGHT * (seen - lengthShare) });
+      const observedShare = tokens / Math.max(1, maxTokens);
+      update(model, { lengthShare: lengthShare + LENGTH_WEIGHT * (observedShare - lengthShare) });
     },
     getSilenceLimits(model, contextTokens) {
       const { acknowledgement, firstPerUnit, gap } = getMeters(model);
--- a/packages/requests/src/RouterShared.ts
+++ b/packages/requests/src/RouterShared.ts
@@ -1,4 +1,4 @@
-/** What the running requests of one router share. */
+/** State that the running requests of one router share. */
 import type { EngineId, Millis, ModelId, RequestId } from '@skylarksail/core/CoreTypes';
 import type { Admission } from './RequestAdmission.js';
 import type { RetryBudget } from './RequestBudget.js';
@@ -14,39 +14,38 @@
 import type { QueuedRun } from './RunQueue.js';
 import type { DecisionRecord, RouterDeps, RouterMetricName, StreamPace } from './RouterTypes.js';
 
-/** A running request as the others see it. */
+/** Interface of a running request for the router and the other requests. */
 export interface ModelRun {
   readonly fingerprint: Fingerprint;
-  /** Engines that it runs on now. */
+  /** Engines that it runs on at present. */
   getEngines(): readonly EngineId[];
-  /** Where it waits to begin; null if it has begun, or waits for a chain. */
+  /** Its place in an engine's queue; null if its answer has begun or it has no chain. */
   getQueued(): QueuedRun | null;
-  /** Whether its answer has begun and stands still now. */
+  /** Whether its answer has begun and is stalled. */
   isStalled(now: Millis): boolean;
-  /** How its answer got on since this was last asked; null if it has not begun. */
+  /** Progress of its answer since the last call; null if the answer has not begun. */
   takePace(now: Millis): StreamPace | null;
-  /** A slot for its recovery is free. */
+  /** Starts its recovery, for which a slot is free. */
   startRecovery(): void;
-  /** Moves it if its stream is slow and moving pays. */
+  /** Moves it to other engines if its stream is slow and the move is worth its cost. */
   checkSlow(usualGap: Millis): void;
   condemn(): void;
   onDrainLimit(): void;
 }
 
-/** Models of which begun answers wait for a chain: new requests of those wait their turn. */
+/** Models with begun answers that wait for a chain; new requests for these models wait behind them. */
 export interface StarvedModels {
   noteStarved(model: ModelId, now: Millis): void;
   isStarved(model: ModelId, now: Millis): boolean;
 }
 
-const STARVED_TIME: Millis = 300;
+const STARVATION_TIME: Millis = 300;
 
-/** Creates the record of starved models, empty. */
 export function createStarvedModels(): StarvedModels {
   const until = new Map<ModelId, Millis>();
   return {
     noteStarved: (model, now) => {
-      until.set(model, now + STARVED_TIME);
+      until.set(model, now + STARVATION_TIME);
     },
     isStarved: (model, now) => (until.get(model) ?? 0) > now,
   };
@@ -64,19 +63,19 @@
   readonly post: PostWork;
   readonly getPoison: () => PoisonState;
   readonly setPoison: (state: PoisonState) => void;
-  /** Budgets by model or service: repeats at one must not be paid for by calls to another. */
+  /** Retry budgets by model or service: calls to one must not fund retries at another. */
   readonly getBudget: (name: string) => RetryBudget;
   readonly setBudget: (name: string, budget: RetryBudget) => void;
-  /** Begun answers that wait for the budget of a model: their callers have a part, and can't go elsewhere. */
+  /** Begun answers that wait for a model's retry budget: their callers hold a partial answer and can't go elsewhere. */
   readonly begunWaits: Map<RequestId, ModelId>;
   readonly isDraining: () => boolean;
-  /** Share of the begun answers that stand still now. */
+  /** Share of the running requests whose answers are stalled. */
   readonly getStalledShare: () => number;
-  /** Starts recoveries while there are slots. */
+  /** Starts queued recoveries while slots are free. */
   readonly startQueuedRecoveries: () => void;
 }
 
-/** Counts one, or records a time. */
+/** Increments a counter, or records a duration. */
 export function countMetric(shared: RouterShared, name: RouterMetricName, value = 1): void {
   shared.deps.onCount({ name, value });
 }
@@ -89,24 +88,23 @@
   [GiveUpReason.Standstill]: 'gaveUpStandstill',
 };
 
-/** Counts a request that no attempt follows for. */
+/** Counts a request that gets no further attempt. */
 export function countGiveUp(shared: RouterShared, reason: GiveUpReasonName): void {
   countMetric(shared, GIVE_UP_METRICS[reason]);
 }
 
-/** Writes a decision to the log. */
 export function logDecision(shared: RouterShared, record: Omit<DecisionRecord, 'at'>): void {
   shared.deps.onDecision({ at: shared.deps.timers.now(), ...record });
 }
 
-/** Takes a retry out of the budget of a model or service, if it has one left. */
+/** Takes a retry from the budget of a model or service; returns whether one was left. */
 export function takeFromBudget(shared: RouterShared, name: string): boolean {
-  const left = takeRetry(shared.getBudget(name), shared.deps.timers.now());
-  countMetric(shared, left ? 'retries' : 'retriesDenied');
-  if (left) {
-    shared.setBudget(name, left);
+  const remaining = takeRetry(shared.getBudget(name), shared.deps.timers.now());
+  countMetric(shared, remaining ? 'retries' : 'retriesDenied');
+  if (remaining) {
+    shared.setBudget(name, remaining);
   }
-  return left !== null;
+  return remaining !== null;
 }
 
 /** Whether the budget of a model or service has a retry left. */
@@ -114,17 +112,17 @@
   return hasRetry(shared.getBudget(name), shared.deps.timers.now());
 }
 
-/** Gives back a retry that reached no engine. */
+/** Returns a retry that reached no engine to the budget. */
 export function returnToBudget(shared: RouterShared, name: string): void {
   shared.setBudget(name, refundRetry(shared.getBudget(name), shared.deps.timers.now()));
 }
 
-/** Lets a first try add its share to the budget. */
+/** Adds the share of a first attempt to the budget. */
 export function creditBudget(shared: RouterShared, name: string): void {
   shared.setBudget(name, noteFirstAttempt(shared.getBudget(name), shared.deps.timers.now()));
 }
 
-/** How a request stands now. */
+/** Poison verdict on a request at present. */
 export function getPoisonVerdict(
   shared: RouterShared,
   fingerprint: Fingerprint,
@@ -132,7 +130,7 @@
   return judgeRequest(shared.getPoison(), fingerprint, shared.deps.timers.now());
 }
 
-/** The other running requests with a fingerprint out of `wanted`. */
+/** Running requests whose fingerprint is in `wanted`. */
 export function findRunsByFingerprint(
   shared: RouterShared,
   wanted: ReadonlySet<Fingerprint>,
--- a/packages/requests/src/RouterTypes.ts
+++ b/packages/requests/src/RouterTypes.ts
@@ -1,4 +1,4 @@
-/** What the router of requests is given, and what it reports. */
+/** Settings and ports of the request router, and the types of its reports. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -11,36 +11,36 @@
 import type { ClaimPort, OpenEngineCall, OpenServiceCall } from './RequestPorts.js';
 import type { AttemptOutcome, ChooseChain, ChooseRepair } from './RequestTypes.js';
 
-/** Settings of the router. */
 export interface RouterConfig {
   readonly limits: LimitConfig;
   readonly silence: SilenceConfig;
-  /** Part of the tokens allowed that answers come to, until some have been seen. */
+  /** Expected answer length as a share of `maxTokens`, until answers have been observed. */
   readonly lengthShare: number;
-  /** Requests of all teams that may wait at this instance. */
+  /** Maximum number of requests, over all teams, that may wait at this instance. */
   readonly queueBound: number;
-  /** Retries as a share of first tries. */
+  /** Retries as a share of first attempts. */
   readonly retryShare: number;
-  /** Retries beyond that share in any window. */
+  /** Retries allowed beyond that share in each window. */
   readonly retryBurst: number;
   /**
-   * The window, in ms. The burst is renewed with each, so a short one lets an outage be multiplied by
-   * more than the share.
+   * Length of the window, in ms. The burst is renewed with each window, so a short window lets retries
+   * amplify the load of an outage by more than the share.
    */
   readonly retryWindow: Millis;
   /**
-   * Whether going on after an engine was lost takes from the same budget. Off where engines can bear
-   * it: a lost rack's answers then go on at once.
+   * Whether recovery after the loss of an engine takes from the same budget. Off where engines can take
+   * the load: the answers of a lost rack then continue at once.
    */
   readonly isRecoveryBudgeted: boolean;
   /**
-   * Whether an engine that refuses work is kept off for growing times. Off where engines refuse in
-   * passing, such as one that has just loaded another version and may be the only one with its layers.
+   * Whether an engine that refuses work is avoided for increasing times. Off where refusals are
+   * transient, as from an engine that has just loaded another version and may be the only one with its
+   * layers.
    */
   readonly keepsOffRefusing: boolean;
-  /** Share of the running requests that may be in recovery at once. */
+  /** Maximum share of the running requests that may be in recovery at once. */
   readonly recoveryShare: number;
-  /** Crashes after which a request is refused. */
+  /** Number of crashes after which a request is refused as poison. */
   readonly poisonCrashes: number;
 }
 
@@ -58,7 +58,7 @@
   poisonCrashes: 2,
 };
 
-/** What was decided. */
+/** Kind of a decision. */
 export type DecisionName =
   | 'admit'
   | 'refuse'
@@ -75,19 +75,19 @@
   | 'complete'
   | 'fail';
 
-/** A decision, for the log: one line each. */
+/** A decision, logged as one line. */
 export interface DecisionRecord {
   readonly at: Millis;
   readonly request: RequestId;
   readonly team: TeamId;
   readonly decision: DecisionName;
   readonly attempt: number;
-  /** The chain or the backend server, where one was chosen. */
+  /** The chain or the backend server, if one was chosen. */
   readonly chain: string | null;
   readonly reason: string | null;
 }
 
-/** Names of what is counted or measured. Those that end in `Ms` are times, the others add up. */
+/** Names of the metrics. Those that end in `Ms` are durations, the others are counters. */
 export type RouterMetricName =
   | 'lateFrames'
   | 'repeatedFrames'
@@ -116,30 +116,30 @@
   readonly value: number;
 }
 
-/** A backend server of a plain service, to be told how the call ended. */
+/** A chosen backend server of a plain service; `release` reports how the call ended. */
 export interface ServerChoice {
   readonly server: EngineId;
   readonly release: (outcome: AttemptOutcome) => void;
 }
 
-/** Chooses a backend server of a plain service, or null if none can take the call. */
+/** Chooses a backend server of a plain service; null if none can take the call. */
 export type ChooseServer = (service: ServiceId, avoid: readonly EngineId[]) => ServerChoice | null;
 
-/** What running streams tell of the links that they share, and what is made of it. */
+/** Infers slow links from the progress of the streams that share them. */
 export interface LinkMonitor {
-  /** Takes in how all running streams got on since the last time; called every 100 ms. */
+  /** Records the progress of all running streams since the last call; called every 100 ms. */
   notePaces(paces: readonly StreamPace[]): void;
-  /** Whether a chain crosses a link that is held to be slow. */
+  /** Whether a chain crosses a link that is considered slow. */
   isSlow(chain: Chain): boolean;
 }
 
-/** Longest time between tokens of a running stream since it was last told, its silence included. */
+/** Longest gap between tokens of a running stream since the last report, including its current silence. */
 export interface StreamPace {
   readonly chain: Chain;
   readonly gap: Millis;
 }
 
-/** What the router stands on. */
+/** Settings, ports and callbacks of the router. */
 export interface RouterDeps {
   readonly cfg: RouterConfig;
   readonly timers: TimerService;
@@ -150,22 +150,22 @@
   readonly chooseServer: ChooseServer;
   readonly openServiceCall: OpenServiceCall;
   readonly claims: ClaimPort;
-  /** Without it silence on a slow link is taken for silence of engines. */
+  /** Without it, silence that a slow link causes is attributed to engines. */
   readonly links?: LinkMonitor;
-  /** This instance's part of the burst at a model or service, as the fleet is now; the setting's if left out. */
+  /** This instance's part of the retry burst of a model or service in the present fleet; `retryBurst` if omitted. */
   readonly getRetryBurst?: (name: string) => number;
-  /** Whether a begun answer that stands still may be broken off now; it always may if left out. */
+  /** Whether a stalled answer that has begun may be aborted now; always allowed if omitted. */
   readonly mayBreakOff?: (submittedAt: Millis) => boolean;
-  /** Asks others for repeats at a model or service; hears whether the burst has grown. */
+  /** Asks other instances for retries for a model or service; `done` receives whether the burst has grown. */
   readonly requestRetries?: (name: string, done: (isGranted: boolean) => void) => void;
   readonly getTeamLimits: (team: TeamId) => TeamLimits;
-  /** KV-cache memory that this instance may count on, in tokens; null if not known. */
+  /** KV-cache memory available to this instance, in tokens; null if unknown. */
   readonly getKvCapacity: () => number | null;
-  /** Boot id of an engine as last reported, or null. */
+  /** Last reported boot id of an engine, or null. */
   readonly getBootId: (engine: EngineId) => string | null;
-  /** Whether an engine has said that it leaves, or is no longer registered; nobody has if left out. */
+  /** Whether an engine has announced that it leaves, or is no longer registered; never if omitted. */
   readonly isEnding?: (engine: EngineId) => boolean;
-  /** Hears of engines that are silent under an answer that is left with them. */
+  /** Receives engines that are silent during an answer that stays with them. */
   readonly onSilent?: (engines: readonly EngineId[]) => void;
   readonly onDecision: (record: DecisionRecord) => void;
   readonly onCount: (metric: RouterMetric) => void;
--- a/packages/requests/src/RouterWorkQueue.ts
+++ b/packages/requests/src/RouterWorkQueue.ts
@@ -1,9 +1,8 @@
-/** Runs posted work in order, one piece at a time, so that no state is stepped inside its own step. */
+/** Runs posted work items in order, one at a time, so that no state machine is re-entered during its own step. */
 
-/** Posts a piece of work; it runs at once unless another piece is running. */
+/** Posts a work item; it runs at once unless another item is running. */
 export type PostWork = (work: () => void) => void;
 
-/** Creates an empty queue of work. */
 export function createWorkQueue(): PostWork {
   const queue: (() => void)[] = [];
   let isRunning = false;
--- a/packages/requests/src/RunAdmission.ts
+++ b/packages/requests/src/RunAdmission.ts
@@ -1,13 +1,13 @@
-/** What a model request asks of admission. */
+/** Admission request of a model request. */
 import type { AdmissionRequest } from './RequestAdmission.js';
 import type { RequestSpec } from './RequestTypes.js';
 import { getPromptTokens } from './RequestTypes.js';
 import type { RouterMeters } from './RouterMeters.js';
 
-/** Prompts weigh this part of what generated tokens do. */
+/** Cost of a prompt token relative to a generated token. */
 const PROMPT_COST = 1 / 8;
 
-/** The work, the memory and the time that a request will take. */
+/** Estimates the work, memory and duration of a request. */
 export function createAdmissionRequest(spec: RequestSpec, meters: RouterMeters): AdmissionRequest {
   const promptTokens = getPromptTokens(spec);
   return {
--- a/packages/requests/src/RunBackoff.ts
+++ b/packages/requests/src/RunBackoff.ts
@@ -1,25 +1,25 @@
-/** Waits before a request goes on. */
+/** Delays before retries. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { computeBackoff } from './RequestFailures.js';
 import type { RequestEffect } from './RequestMessages.js';
 
-/** Least wait before another look for a chain. */
+/** Minimum delay before another search for a chain. */
 export const MIN_RECHOOSE_DELAY: Millis = 50;
-const RECHOOSE_MOST: Millis = 250;
-const BUDGET_WAIT: Millis = 500;
+const MAX_RECHOOSE_DELAY: Millis = 250;
+const BUDGET_RECHECK_DELAY: Millis = 500;
 const RETRY_JITTER = 0.3;
 /**
- * When a caller that has nothing of its answer comes back after the budget was spent here. The budget is spent where
- * engines were lost, and others hold their layers some three seconds later. A caller has few tries: one that comes
- * back sooner is likely to be refused again, and for good.
+ * Retry delay for a caller that has no part of its answer when the budget here is exhausted. The budget runs out
+ * where engines were lost, and other engines hold their layers about three seconds later. A caller has few attempts:
+ * one that retries sooner is likely to be refused again and to give up.
  */
-const RETURN_WAIT: Millis = 3000;
-/** Spread, so that callers of one lost engine do not return together. */
-const RETURN_JITTER = 0.3;
+const CALLER_RETRY_DELAY: Millis = 3000;
+/** Jitter, so that callers of one lost engine do not retry at the same time. */
+const CALLER_RETRY_JITTER = 0.3;
 
-/** Wait before a retry, or before another look for a chain, which costs the engines nothing. */
+/** Delay before a retry, or before another search for a chain, which puts no load on the engines. */
 export function computeRetryDelay(
   random: Random,
   { mode, fruitless, retryAfter }: Extract<RequestEffect, { kind: 'ask-retry' }>,
@@ -27,16 +27,16 @@
   if (mode !== 'rechoose') {
     return computeBackoff(random, fruitless, retryAfter);
   }
-  const wait = Math.min(RECHOOSE_MOST, Math.max(MIN_RECHOOSE_DELAY, retryAfter ?? 0));
-  return jitter(random, wait, RETRY_JITTER);
+  const delay = Math.min(MAX_RECHOOSE_DELAY, Math.max(MIN_RECHOOSE_DELAY, retryAfter ?? 0));
+  return jitter(random, delay, RETRY_JITTER);
 }
 
-/** Wait before the retry budget is asked again. */
+/** Delay before the retry budget is checked again. */
 export function computeBudgetRecheckDelay(random: Random): Millis {
-  return jitter(random, BUDGET_WAIT, RETRY_JITTER);
+  return jitter(random, BUDGET_RECHECK_DELAY, RETRY_JITTER);
 }
 
-/** When a caller whose request has not run may come back; its next try takes nothing from the budget. */
+/** Delay after which a caller whose request has not run may retry; that takes nothing from the budget here. */
 export function computeCallerRetryDelay(random: Random): Millis {
-  return jitter(random, RETURN_WAIT, RETURN_JITTER);
+  return jitter(random, CALLER_RETRY_DELAY, CALLER_RETRY_JITTER);
 }
--- a/packages/requests/src/RunBreak.ts
+++ b/packages/requests/src/RunBreak.ts
@@ -1,10 +1,10 @@
-/** Decides when an answer that stands still is broken off, so that its caller can go on elsewhere. */
+/** Decides when a stalled answer is aborted, so that its caller can continue elsewhere. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { RequestMachine } from './RequestState.js';
 import type { RequestSpec } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 
-/** Time at which a begun answer is broken off if nothing comes until then; Infinity if it is not to be. */
+/** Time at which a begun answer is aborted if it gives nothing more until then; Infinity if it must not be aborted. */
 export function getBreakTime(
   { deps }: RouterShared,
   spec: RequestSpec,
--- a/packages/requests/src/RunFailover.ts
+++ b/packages/requests/src/RunFailover.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether something better can follow an attempt that is given up on a guess. A silent or slow engine may
- * still answer. Where no other attempt is possible its caller is served by nothing else; and where only the same
- * engines are left, a request that is taken back waits there once more, behind all that came meanwhile.
+ * Decides whether another attempt can replace one whose engines are only suspected of failure. A silent or slow
+ * engine may still answer. Where no other attempt is possible, giving up the present one leaves the caller unserved;
+ * where only the same engines are left, a request that is withdrawn queues there again, behind all later ones.
  */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RequestMachine } from './RequestState.js';
@@ -9,25 +9,25 @@
 import type { RouterShared } from './RouterShared.js';
 import { hasBudget } from './RouterShared.js';
 
-/** What keeps another attempt from following. */
+/** Why no other attempt can replace the present one. */
 export const FailoverBlocker = {
-  /** It ran on as many engines as its route allows. */
+  /** The request has used all attempts that its route allows. */
   Attempts: 'attempts',
-  /** The retry budget is used up; others may lend a repeat. */
+  /** The retry budget is exhausted; other instances may lend a retry. */
   Budget: 'budget',
-  /** No chain is whole without the engines that are to be replaced. */
+  /** There is no complete chain without the engines to be replaced. */
   Chain: 'chain',
 } as const;
 
 export type FailoverBlockerName = (typeof FailoverBlocker)[keyof typeof FailoverBlocker];
 
-/** Longest wait between two looks at an attempt that nothing can follow now. */
+/** Maximum interval between two checks of an attempt that cannot be replaced at present. */
 export const FAILOVER_CHECK_PERIOD: Millis = 250;
 
-/** Whether a chain is whole without some engines of the present one. */
+/** Whether there is a complete chain without some engines of the present one. */
 export type HasChainWithout = (engines: readonly EngineId[]) => boolean;
 
-/** Finds what keeps an attempt without the `failed` engines from following the present one; null if nothing does. */
+/** Finds why no attempt without the `failed` engines can replace the present one; null if one can. */
 export function findFailoverBlocker(
   shared: RouterShared,
   { model }: RequestSpec,
@@ -38,14 +38,14 @@
   if (machine.attemptsLeft <= 1) {
     return FailoverBlocker.Attempts;
   }
-  if (isRepeatPaid(shared, machine) && !hasBudget(shared, model)) {
+  if (isNextAttemptBudgeted(shared, machine) && !hasBudget(shared, model)) {
     return FailoverBlocker.Budget;
   }
   return hasChainWithout(failed) ? null : FailoverBlocker.Chain;
 }
 
-/** Whether the attempt that follows takes from the retry budget. */
-function isRepeatPaid(
+/** Whether the next attempt takes from the retry budget. */
+function isNextAttemptBudgeted(
   { deps }: RouterShared,
   { attemptTokens, fruitless }: RequestMachine,
 ): boolean {
--- a/packages/requests/src/RunMove.ts
+++ b/packages/requests/src/RunMove.ts
@@ -1,4 +1,4 @@
-/** Decides whether a slow stream is moved off the engine that slows it. */
+/** Decides whether a slow stream moves off the engine that slows it. */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RequestMachine } from './RequestState.js';
 import { RequestPhase } from './RequestMessages.js';
@@ -8,29 +8,29 @@
 import type { HasChainWithout } from './RunFailover.js';
 import { findFailoverBlocker, FAILOVER_CHECK_PERIOD } from './RunFailover.js';
 
-/** A stream is slow if its tokens come this many times as slowly as is usual. */
+/** A stream is slow if its mean gap is more than this multiple of the usual gap. */
 const SLOW_FACTOR = 2.5;
-const SLOW_SAMPLES = 6;
-/** Least time between an attempt's start and its move, so that streams do not wander. */
-const MOVE_AFTER: Millis = 300;
-/** Moving must save this many times what it is expected to cost. */
-const MOVE_GAIN = 2;
+const MIN_SLOW_SAMPLES = 6;
+/** Minimum time between the start of an attempt and its move, so that streams don't move repeatedly. */
+const MIN_ATTEMPT_AGE: Millis = 300;
+/** A move must save more than this multiple of its expected cost. */
+const MIN_MOVE_GAIN = 2;
 
-/** An engine is to blame if even its best stream is this many times as slow as is usual. */
+/** An engine is to blame if even its fastest stream has a gap above this multiple of the usual gap. */
 const BLAME_FACTOR = 1.5;
-/** Time after which a slow stream is moved though each of its engines does well: a link is slow. */
-const LINK_PATIENCE: Millis = 600;
+/** Time after which a slow stream moves although none of its engines is slow: a link is slow. */
+const SLOW_LINK_TIMEOUT: Millis = 600;
 const MAX_MOVES = 4;
 
-/** Whether a stream is to be moved. */
+/** Whether a stream moves. */
 export interface MoveDecision {
-  /** Since when it has been slow, or when to look at it next where nothing can follow it; null if it is not slow. */
+  /** Time since which it is slow, or time of the next check if it can't be replaced; null if it is not slow. */
   readonly slowSince: Millis | null;
-  /** Engine to replace now; null if it stays. */
+  /** Engine to replace now; null if the stream stays. */
   readonly engine: EngineId | null;
 }
 
-/** Decides on a stream that was slow since `slowSince`. */
+/** Decides on a stream; `slowSince` comes from the previous decision. */
 export function decideMove(
   shared: RouterShared,
   spec: RequestSpec,
@@ -41,30 +41,32 @@
 ): MoveDecision {
   const now = shared.deps.timers.now();
   const { pace, chain, tokenCount } = machine;
-  const isSettled = pace.samples >= SLOW_SAMPLES && now - machine.openedAt >= MOVE_AFTER;
+  const isSettled = pace.samples >= MIN_SLOW_SAMPLES && now - machine.openedAt >= MIN_ATTEMPT_AGE;
   const isSlow = pace.mean > Math.max(shared.deps.cfg.silence.leastSlowGap, usualGap * SLOW_FACTOR);
-  // Few at a time: a stream gives up what it has, and its prompt is read again.
-  const isRoom = shared.recovery.countRunning() + shared.recovery.countWaiting() < MAX_MOVES;
-  const isMovable = isRoom && spec.idempotent && machine.phase === RequestPhase.Running;
+  // Limits concurrent moves: a move discards the stream's KV cache, and its prompt is read again.
+  const hasMoveCapacity =
+    shared.recovery.countRunning() + shared.recovery.countWaiting() < MAX_MOVES;
+  const isMovable = hasMoveCapacity && spec.idempotent && machine.phase === RequestPhase.Running;
   if (!chain || !isMovable || !isSettled || !isSlow) {
     return { slowSince: null, engine: null };
   }
   const since = slowSince ?? now;
-  const left = shared.meters.estimateLength(spec.model, spec.maxTokens) - tokenCount;
+  const tokensLeft = shared.meters.estimateLength(spec.model, spec.maxTokens) - tokenCount;
   const contextTokens = getPromptTokens(spec) + tokenCount;
   const cost = shared.meters.estimateFirstToken(spec.model, contextTokens);
-  const pays = left * (pace.mean - usualGap) > MOVE_GAIN * cost;
+  const isWorthwhile = tokensLeft * (pace.mean - usualGap) > MIN_MOVE_GAIN * cost;
   const slowest = shared.progress.findSlowest(chain, now);
-  const isClear = slowest !== null && slowest.bestGap > BLAME_FACTOR * usualGap;
-  // Where it is known that a link is slow, a move by way of the same link would only add to its load.
+  const isEngineToBlame = slowest !== null && slowest.bestGap > BLAME_FACTOR * usualGap;
+  // A move across a link that is known to be slow would only add to its load.
   const isLinkSlow = shared.deps.links?.isSlow(chain) ?? false;
-  const isDue = !isLinkSlow && now >= since && (isClear || now - since >= LINK_PATIENCE);
-  if (!pays || !isDue || !slowest) {
+  const isDue =
+    !isLinkSlow && now >= since && (isEngineToBlame || now - since >= SLOW_LINK_TIMEOUT);
+  if (!isWorthwhile || !isDue || !slowest) {
     return { slowSince: since, engine: null };
   }
-  // A slow answer that is moved where nothing can follow ends there, or stands still.
-  const bar = findFailoverBlocker(shared, spec, machine, [slowest.engine], hasChainWithout);
-  return bar === null
+  // A slow answer that gives up its engines when no other attempt is possible fails or stalls.
+  const blocker = findFailoverBlocker(shared, spec, machine, [slowest.engine], hasChainWithout);
+  return blocker === null
     ? { slowSince: since, engine: slowest.engine }
     : { slowSince: now + FAILOVER_CHECK_PERIOD, engine: null };
 }
--- a/packages/requests/src/RunQueue.ts
+++ b/packages/requests/src/RunQueue.ts
@@ -1,13 +1,13 @@
-/** What waits at the first engines of chains, as this instance sees it. */
+/** Queues at the first engines of chains, as known to this instance. */
 import { getPriorityRank } from '@skylarksail/core/CoreConstants';
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RouterShared } from './RouterShared.js';
 
-/** Part of the time until an answer must begin that a queue may take; the rest is for reading the prompt. */
-const WAIT_SHARE = 0.5;
+/** Maximum share of the time until an answer must begin that a queue may take; the rest is for prefill. */
+const MAX_QUEUE_SHARE = 0.5;
 
-/** A request that was sent to an engine and has not begun. */
+/** A request that was sent to an engine and has produced no token yet. */
 export interface QueuedRun {
   readonly engine: EngineId;
   readonly priority: PriorityName;
@@ -15,9 +15,9 @@
 }
 
 /**
- * Whether an engine's queue is too long for a request that must begin by `beginBy`. Engines begin the more important
- * requests first, and of those that are equal the older: as long as one that is no less important has waited there,
- * a new one is likely to wait as well.
+ * Whether an engine's queue is too long for a request that must begin by `beginBy`. Engines start requests in order
+ * of priority, then of age, so a new request is likely to wait at least as long as one of the same or a higher
+ * priority has waited there.
  */
 export function isQueueTooLong(
   shared: RouterShared,
@@ -33,7 +33,7 @@
       queued !== null &&
       queued.engine === engine &&
       getPriorityRank(queued.priority) >= rank &&
-      now - queued.since >= WAIT_SHARE * (beginBy - now)
+      now - queued.since >= MAX_QUEUE_SHARE * (beginBy - now)
     );
   });
 }
--- a/packages/requests/src/RunRetries.ts
+++ b/packages/requests/src/RunRetries.ts
@@ -1,7 +1,7 @@
 /**
- * What follows when an attempt of a model request has failed: another one, a wait for the retry budget, or the end.
- * An outage that engines are lost in must not be multiplied by those who wait it out, and a caller who can be
- * served elsewhere must not wait for what this instance has no repeat left for.
+ * Decides what follows a failed attempt of a model request: a retry, a wait for the retry budget, or the end.
+ * Waiting requests must not amplify an outage in which engines are lost, and a caller that can be served elsewhere
+ * must not wait here when this instance has no retry left.
  */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type {
@@ -26,8 +26,8 @@
 
 type AskRetry = Extract<RequestEffect, { kind: 'ask-retry' }>;
 
-/** The request as its retries see it. */
-export interface RetriedRun {
+/** Parts of the request that its retries use. */
+export interface RetryContext {
   readonly spec: RequestSpec;
   readonly getMachine: () => RequestMachine;
   readonly send: (event: RequestEvent) => void;
@@ -38,15 +38,15 @@
 export interface RunRetries {
   /** Decides what follows a failed attempt. */
   ask(effect: AskRetry): void;
-  /** Asks others for a repeat while the present attempt goes on. */
+  /** Asks other instances for a retry while the present attempt continues. */
   borrowRetry(onLent: () => void): void;
-  /** Engines that failed in the attempt before. */
+  /** Engines that failed in the previous attempt. */
   getFailedEngines(): readonly EngineId[];
-  /** The request has ended. */
+  /** Stops waiting for the retry budget. */
   stop(): void;
 }
 
-export function createRunRetries(shared: RouterShared, run: RetriedRun): RunRetries {
+export function createRunRetries(shared: RouterShared, run: RetryContext): RunRetries {
   const { deps } = shared;
   const { timers } = deps;
   const { spec, getMachine, send, giveUp, log } = run;
@@ -56,26 +56,26 @@
     const delay = effect.mode === 'recover' ? 0 : computeRetryDelay(deps.random, effect);
     lastFailed = effect.failed;
     const breakTime = getBreakTime(shared, spec, getMachine());
-    const leavesAt =
+    const beginBy =
       effect.mode === 'retry' ? (getFirstTokenDeadline(getMachine()) ?? Infinity) : Infinity;
-    if (timers.now() + delay >= Math.min(spec.deadline, breakTime, leavesAt)) {
+    if (timers.now() + delay >= Math.min(spec.deadline, breakTime, beginBy)) {
       giveUp(breakTime < spec.deadline ? GiveUpReason.Standstill : GiveUpReason.DeadlineNear);
       send({ kind: 'retry-refused', retryAfter: effect.retryAfter });
-    } else if (isBudgeted(effect.mode) && !takeRepeat()) {
+    } else if (isBudgeted(effect.mode) && !takeRetry()) {
       askForBudget(effect, delay);
     } else {
-      goOn(effect, delay);
+      proceed(effect, delay);
     }
   }
 
-  /** A caller without a part of its answer can go elsewhere, and takes nothing that one with a part waits for. */
-  function takeRepeat(): boolean {
+  /** A caller without a partial answer can go elsewhere, so it takes no retry that a begun answer waits for. */
+  function takeRetry(): boolean {
     const isBegun = getMachine().tokenCount > 0;
-    const isOwed = [...shared.begunWaits.values()].includes(spec.model);
-    return (isBegun || !isOwed) && takeFromBudget(shared, spec.model);
+    const hasBegunWaiters = [...shared.begunWaits.values()].includes(spec.model);
+    return (isBegun || !hasBegunWaiters) && takeFromBudget(shared, spec.model);
   }
 
-  function goOn({ mode, failed }: AskRetry, delay: Millis): void {
+  function proceed({ mode, failed }: AskRetry, delay: Millis): void {
     stop();
     if (mode === 'recover') {
       log('recover', failed.join(','));
@@ -87,19 +87,19 @@
     }
   }
 
-  /** Looking for a chain once more reaches no engine by itself. */
+  /** Another search for a chain reaches no engine by itself, so it takes nothing from the budget. */
   function isBudgeted(mode: RetryMode): boolean {
     return mode === 'retry' || (mode === 'recover' && deps.cfg.isRecoveryBudgeted);
   }
 
-  /** Others of the fleet may have repeats left, and answer within some milliseconds. */
-  function requestRepeat(done: (isGranted: boolean) => void): void {
-    const request = deps.requestRetries ?? ((_name, tell) => tell(false));
+  /** Other instances may have retries left; they answer within a few milliseconds. */
+  function requestFleetRetry(done: (isGranted: boolean) => void): void {
+    const request = deps.requestRetries ?? ((_name, answer) => answer(false));
     request(spec.model, (isGranted) => shared.post(() => done(isGranted)));
   }
 
-  function borrow(onLent: () => void): void {
-    requestRepeat((isGranted) => {
+  function borrowFromFleet(onLent: () => void): void {
+    requestFleetRetry((isGranted) => {
       if (isGranted && hasBudget(shared, spec.model)) {
         onLent();
       }
@@ -108,12 +108,12 @@
 
   function askForBudget(effect: AskRetry, delay: Millis): void {
     const { attempt } = getMachine();
-    requestRepeat((isGranted) => {
+    requestFleetRetry((isGranted) => {
       if (!isPausing(attempt)) {
         return;
       }
-      if (isGranted && takeRepeat()) {
-        goOn(effect, delay);
+      if (isGranted && takeRetry()) {
+        proceed(effect, delay);
       } else {
         waitForBudget(effect);
       }
@@ -126,8 +126,8 @@
   }
 
   /**
-   * A caller that has part of its answer waits for the rest. Any other is told at once: its next try takes nothing
-   * from the budget and reaches another instance, and a wait here most often ends in a refusal all the same.
+   * A caller with a partial answer waits for the rest. Any other gets a refusal at once: its next attempt takes
+   * nothing from the budget here and reaches another instance, while a wait usually ends in a refusal anyway.
    */
   function waitForBudget(effect: AskRetry): void {
     const { attempt, tokenCount } = getMachine();
@@ -150,5 +150,5 @@
     shared.begunWaits.delete(spec.id);
   }
 
-  return { ask, borrowRetry: borrow, getFailedEngines: () => lastFailed, stop };
+  return { ask, borrowRetry: borrowFromFleet, getFailedEngines: () => lastFailed, stop };
 }
--- a/packages/requests/src/RunSilence.ts
+++ b/packages/requests/src/RunSilence.ts
@@ -1,4 +1,4 @@
-/** Decides what the silence of an attempt means: one engine's failure, all engines', or nothing yet. */
+/** Decides what the silence of an attempt means: failure of one engine, failure of all, or no failure yet. */
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import { RequestPhase } from './RequestMessages.js';
 import type { AttemptFailure } from './RequestPorts.js';
@@ -10,16 +10,16 @@
 import type { FailoverBlockerName, HasChainWithout } from './RunFailover.js';
 import { findFailoverBlocker, FAILOVER_CHECK_PERIOD } from './RunFailover.js';
 
-/** Time without a token after which an answer counts as standing still. */
-const STILL_AFTER: Millis = 80;
-/** Silences that are borne on a link that is known to be slow. */
-const SLOW_LINK_SILENCES = 6;
-/** Silences that are borne where nothing at all came through the engines of a chain. */
-const WHOLE_SILENCES = 1;
-/** Share of answers that may stand still at once while one engine is held to be the cause. */
-const MOST_STILL = 0.7;
+/** Time without a token after which an answer counts as stalled. */
+const STALLED_AFTER: Millis = 80;
+/** Consecutive silences tolerated on a link that is known to be slow. */
+const MAX_SLOW_LINK_SILENCES = 6;
+/** Consecutive silences tolerated when no stream has received a token through any engine of the chain. */
+const MAX_CHAIN_SILENCES = 1;
+/** Maximum share of stalled answers for which single engines are blamed. */
+const MAX_STALLED_SHARE = 0.7;
 
-/** What is told of an attempt that gives nothing. */
+/** Failure of an attempt that gives nothing. */
 export const SILENCE_FAILURE: AttemptFailure = {
   place: FailurePlace.Silence,
   engine: null,
@@ -28,23 +28,23 @@
   provenNotRun: false,
 };
 
-/** What follows from a silence. */
+/** Reaction to a silence. */
 export type SilenceDecision =
-  /** The attempt has failed, and these engines are to be replaced. */
+  /** The attempt has failed; replace these engines. */
   | { readonly kind: 'failed'; readonly suspects: readonly EngineId[] }
-  /** It is given as much time again. */
+  /** The attempt gets the same time again. */
   | { readonly kind: 'borne' }
-  /** Nothing can follow it now, and something may after `delay`. */
+  /** No other attempt can replace it now; check again after `delay`. */
   | {
       readonly kind: 'look-again';
       readonly delay: Millis;
       readonly blocker: FailoverBlockerName;
       readonly suspects: readonly EngineId[];
     }
-  /** Its caller has got nothing for so long that it is better served elsewhere. */
+  /** The caller has received nothing for so long that it is better served elsewhere. */
   | { readonly kind: 'given-up' };
 
-/** Decides on an attempt that was silent too long. */
+/** Decides on an attempt that has been silent for too long. */
 export function decideSilence(
   shared: RouterShared,
   spec: RequestSpec,
@@ -55,8 +55,8 @@
   if (suspects === null) {
     return { kind: 'borne' };
   }
-  const bar = findFailoverBlocker(shared, spec, machine, suspects, hasChainWithout);
-  if (bar === null) {
+  const failoverBlocker = findFailoverBlocker(shared, spec, machine, suspects, hasChainWithout);
+  if (failoverBlocker === null) {
     return { kind: 'failed', suspects };
   }
   const patientUntil = machine.patientUntil ?? Infinity;
@@ -67,18 +67,18 @@
     : {
         kind: 'look-again',
         delay: Math.min(FAILOVER_CHECK_PERIOD, timeLeft),
-        blocker: bar,
+        blocker: failoverBlocker,
         suspects,
       };
 }
 
-/** Whether an answer has begun and stands still now. */
+/** Whether an answer has begun and is stalled. */
 export function isStalled(machine: RequestMachine, now: Millis): boolean {
   const isBegun = machine.phase === RequestPhase.Running && machine.attemptTokens > 0;
-  return isBegun && now - machine.lastActivityAt > STILL_AFTER;
+  return isBegun && now - machine.lastActivityAt > STALLED_AFTER;
 }
 
-/** Engines to replace, or null if the silence is to be borne for now. */
+/** Engines to replace, or null if the silence is tolerated for now. */
 function findSilenceSuspects(
   shared: RouterShared,
   machine: RequestMachine,
@@ -87,24 +87,30 @@
   if (!chain) {
     return null;
   }
-  if (shared.deps.links?.isSlow(chain) && machine.toleratedSilences < SLOW_LINK_SILENCES) {
-    // A prompt that is read again would cross the slow link once more, and hold up all that is on it.
+  if (shared.deps.links?.isSlow(chain) && machine.toleratedSilences < MAX_SLOW_LINK_SILENCES) {
+    // Repeating the prefill would send the prompt over the slow link again and delay all its traffic.
     return null;
   }
-  const all = chain.stages.map((stage) => stage.engine);
-  // The later half of the silence: an engine that hung may have served another stream just before.
+  const allEngines = chain.stages.map((stage) => stage.engine);
+  // Checks the second half of the silence: an engine that hangs may have served another stream just before it hung.
   const since = (machine.lastActivityAt + shared.deps.timers.now()) / 2;
   const silent = shared.progress.findSilent(chain, since);
-  const isAlone = shared.getStalledShare() <= MOST_STILL;
-  if (isAlone && silent.length > 0 && silent.length < all.length) {
+  const isIsolated = shared.getStalledShare() <= MAX_STALLED_SHARE;
+  if (isIsolated && silent.length > 0 && silent.length < allEngines.length) {
     return silent;
   }
-  const isWhole = shared.progress.findSilent(chain, machine.lastActivityAt).length === all.length;
-  if (isAlone && isWhole && shared.deps.links && machine.toleratedSilences >= WHOLE_SILENCES) {
-    // Nothing came through any of its engines, while others go on: the way to them is cut. A slow link
-    // would be known by now.
-    return all;
+  const isChainSilent =
+    shared.progress.findSilent(chain, machine.lastActivityAt).length === allEngines.length;
+  if (
+    isIsolated &&
+    isChainSilent &&
+    shared.deps.links &&
+    machine.toleratedSilences >= MAX_CHAIN_SILENCES
+  ) {
+    // No token came through any engine of the chain while other answers continue, so the connection to
+    // them is cut. A slow link would have been detected by now.
+    return allEngines;
   }
-  // A slow link holds up many streams at once, and prompts read again would hold them up longer.
-  return machine.toleratedSilences < shared.deps.cfg.silence.mostUnclear ? null : all;
+  // A slow link delays many streams at once, and repeated prefills would delay them further.
+  return machine.toleratedSilences < shared.deps.cfg.silence.mostUnclear ? null : allEngines;
 }
