--- a/packages/requests/src/RunSuspicion.ts
+++ b/packages/requests/src/RunSuspicion.ts
@@ -1,4 +1,4 @@
-/** Ties running requests to the search for poison requests and to what is told of engines. */
+/** Connects running requests to poison detection and to the progress tracking of engines. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { Fingerprint } from './RequestPoison.js';
@@ -12,12 +12,12 @@
 import type { RouterShared } from './RouterShared.js';
 import { getPoisonVerdict, findRunsByFingerprint } from './RouterShared.js';
 
-/** Tokens that a suspect must give after a crash to be cleared of it. */
+/** Tokens of one attempt after which a suspect is cleared of its crashes. */
 const CLEARING_TOKENS = 64;
-/** Fellow suspects on an engine that are borne, from the wish to the last resort. */
-const FELLOW_BOUNDS = [0, 1, 3, 7, Infinity];
+/** Limits on fellow suspects per engine, from the preferred one to the last resort. */
+const FELLOW_SUSPECT_LIMITS = [0, 1, 3, 7, Infinity];
 
-/** Notes a token that came over a chain; a request that gets on for long is cleared of crashes. */
+/** Records a token that came over a chain; a request that has produced enough tokens is cleared of crashes. */
 export function noteRunToken(
   shared: RouterShared,
   fingerprint: Fingerprint,
@@ -31,7 +31,7 @@
   }
 }
 
-/** Clears a request of the crashes that it was at. */
+/** Clears a request of the crashes that it was present at. */
 export function clearCrashRecords(shared: RouterShared, fingerprint: Fingerprint): void {
   if (shared.getPoison().crashes.size > 0) {
     shared.setPoison(noteSurvival(shared.getPoison(), fingerprint));
@@ -39,8 +39,8 @@
 }
 
 /**
- * Notes that a request was on an engine that crashed, and stops its copies if that condemns it. Those
- * that ran there for long are kept apart from those that had just begun, who are few.
+ * Records that a request was on an engine that crashed, and stops all its runs if that condemns it.
+ * Requests that had run there for long are tracked separately from those that had just begun, which are few.
  */
 export function noteRunCrash(
   shared: RouterShared,
@@ -48,8 +48,8 @@
   engine: EngineId,
   attemptTokens: number,
 ): void {
-  // An engine that leaves ends its streams by itself. Counted as crashes, two that are replaced in series would
-  // condemn a request that ran on both.
+  // An engine that leaves ends its own streams. If that counted as a crash, two engines replaced one after the
+  // other would condemn a request that ran on both.
   if (shared.deps.isEnding?.(engine)) {
     return;
   }
@@ -57,18 +57,18 @@
   const bootId = shared.deps.getBootId(engine) ?? 'unknown';
   const crash = createCrashId(engine, bootId, attemptTokens >= CLEARING_TOKENS);
   shared.setPoison(noteCrash(shared.getPoison(), crash, fingerprint, now));
-  // One report can condemn no other request; judging them all would cost runs times runs.
+  // One report can condemn only this request; checking all on each report would take quadratic time.
   if (getPoisonVerdict(shared, fingerprint) === PoisonVerdict.Condemned) {
     stopRunsOf(shared, fingerprint);
   }
 }
 
-/** Stops what runs of a condemned request. */
+/** Stops all runs of a condemned request. */
 export function stopRunsOf(shared: RouterShared, fingerprint: Fingerprint): void {
   findRunsByFingerprint(shared, new Set([fingerprint])).forEach((run) => run.condemn());
 }
 
-/** Stops what runs of the requests that another instance's news condemns. */
+/** Stops all running requests that are condemned, after another instance's digest was merged. */
 export function stopCondemned(shared: RouterShared): void {
   for (const run of [...shared.runs.values()]) {
     if (getPoisonVerdict(shared, run.fingerprint) === PoisonVerdict.Condemned) {
@@ -78,10 +78,10 @@
 }
 
 /**
- * Engines that a request keeps off: those that were lost just now and, if it is a suspect, those that run
- * other suspects of the same crash, which could not be told apart if they were together at the next one.
- * Sets of engines to try in turn, each smaller than the one before: engines are few, and a bystander must
- * not wait for one of its own.
+ * Sets of engines to avoid, to try in order. A set holds engines that were lost recently and, if the request
+ * is a suspect, engines that run other suspects of the same crash, since suspects that share the next crash
+ * cannot be told apart. Later sets are smaller: engines are few, and an innocent request must not wait for
+ * an engine of its own.
  */
 export function listAvoidSets(
   shared: RouterShared,
@@ -92,15 +92,17 @@
   if (getPoisonVerdict(shared, fingerprint) === PoisonVerdict.Clean) {
     return silent.length > 0 ? [[...dead, ...silent], dead] : [dead];
   }
-  const fellows = listCoSuspects(shared.getPoison(), fingerprint, now);
+  const fellowSuspects = listCoSuspects(shared.getPoison(), fingerprint, now);
   const counts = new Map<EngineId, number>();
-  for (const engine of findRunsByFingerprint(shared, fellows).flatMap((run) => run.getEngines())) {
+  for (const engine of findRunsByFingerprint(shared, fellowSuspects).flatMap((run) =>
+    run.getEngines(),
+  )) {
     counts.set(engine, (counts.get(engine) ?? 0) + 1);
   }
-  const spreads = FELLOW_BOUNDS.map((bound) => [
+  const avoidSets = FELLOW_SUSPECT_LIMITS.map((limit) => [
     ...dead,
     ...silent,
-    ...[...counts].filter(([, count]) => count > bound).map(([engine]) => engine),
+    ...[...counts].filter(([, count]) => count > limit).map(([engine]) => engine),
   ]);
-  return [...spreads, dead];
+  return [...avoidSets, dead];
 }
--- a/packages/requests/src/RunWatch.ts
+++ b/packages/requests/src/RunWatch.ts
@@ -1,4 +1,4 @@
-/** Watches the running attempt of a model request: what follows when it is silent or slow. */
+/** Watches the running attempt of a model request and reacts when it is silent or slow. */
 import { failUnreachable } from '@skylarksail/core/CoreErrors';
 import type { EngineId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import type { AttemptRunner } from './AttemptRunner.js';
@@ -15,8 +15,8 @@
 import type { RunRetries } from './RunRetries.js';
 import { decideSilence, SILENCE_FAILURE } from './RunSilence.js';
 
-/** The request as its watch sees it. */
-export interface WatchedRun {
+/** Parts of the request that its watch uses. */
+export interface WatchContext {
   readonly spec: RequestSpec;
   readonly getMachine: () => RequestMachine;
   readonly attempts: AttemptRunner;
@@ -27,28 +27,28 @@
 }
 
 export interface RunWatch {
-  /** Looks at the attempt once, after `delay`, and not at any time set before. */
+  /** Schedules a check of the attempt after `delay`; replaces any earlier one. */
   scheduleCheck(delay: Millis): void;
-  /** The attempt was silent too long: carries out what follows. */
+  /** Reacts to an attempt that has been silent for too long. */
   handleSilence(): void;
-  /** Moves the answer if it is slow and moving pays. */
+  /** Moves the answer to other engines if it is slow and the move is worth its cost. */
   checkSlow(usualGap: Millis): void;
   stop(): void;
 }
 
-export function createRunWatch(shared: RouterShared, run: WatchedRun): RunWatch {
+export function createRunWatch(shared: RouterShared, run: WatchContext): RunWatch {
   const { deps } = shared;
   const { timers } = deps;
   const { spec, getMachine, attempts, retries, send, giveUp, log } = run;
-  let undoLook: Unregister = () => undefined;
+  let cancelCheck: Unregister = () => undefined;
   let slowSince: Millis | null = null;
-  /** The attempt of which it was logged that it is left with its silent engines. */
-  let leftAttempt = 0;
+  /** The last attempt for which a `hold` was logged: it stays with its silent engines. */
+  let heldAttempt = 0;
 
-  function lookAfter(delay: Millis): void {
+  function scheduleTick(delay: Millis): void {
     const dueAt = timers.now() + delay;
-    undoLook();
-    undoLook = timers.registerTimeout(delay, () => send({ kind: 'tick', dueAt }));
+    cancelCheck();
+    cancelCheck = timers.registerTimeout(delay, () => send({ kind: 'tick', dueAt }));
   }
 
   function sendSilence(suspects: readonly EngineId[], isSlow: boolean): void {
@@ -56,8 +56,11 @@
     send({ kind: 'failure', attempt, failure: SILENCE_FAILURE, suspects, isSlow });
   }
 
-  /** The engines keep the answer, and may be dead all the same: new requests and the health check must not wait. */
-  function noteSilent(suspects: readonly EngineId[]): void {
+  /**
+   * The engines keep the answer but may be dead: reports them, so that health checks start and new requests avoid a
+   * single suspect.
+   */
+  function reportSilentEngines(suspects: readonly EngineId[]): void {
     const [engine] = suspects;
     if (engine !== undefined && suspects.length === 1) {
       shared.progress.noteLost(engine, false, timers.now());
@@ -65,11 +68,11 @@
     deps.onSilent?.(suspects);
   }
 
-  function logLeft(bar: FailoverBlockerName): void {
+  function logHold(blocker: FailoverBlockerName): void {
     const { attempt } = getMachine();
-    if (attempt !== leftAttempt) {
-      leftAttempt = attempt;
-      log('hold', `silence ${bar}`);
+    if (attempt !== heldAttempt) {
+      heldAttempt = attempt;
+      log('hold', `silence ${blocker}`);
     }
   }
 
@@ -81,7 +84,7 @@
   }
 
   return {
-    scheduleCheck: lookAfter,
+    scheduleCheck: scheduleTick,
     handleSilence() {
       const decision = decideSilence(shared, spec, getMachine(), hasChainWithout);
       switch (decision.kind) {
@@ -92,8 +95,8 @@
           send({ kind: 'silence-borne' });
           break;
         case 'look-again':
-          logLeft(decision.blocker);
-          noteSilent(decision.suspects);
+          logHold(decision.blocker);
+          reportSilentEngines(decision.suspects);
           send({ kind: 'look-again', delay: decision.delay });
           if (decision.blocker === FailoverBlocker.Budget) {
             retries.borrowRetry(() => send({ kind: 'look-again', delay: 0 }));
@@ -114,6 +117,6 @@
         sendSilence([move.engine], true);
       }
     },
-    stop: () => undoLook(),
+    stop: () => cancelCheck(),
   };
 }
--- a/packages/requests/src/ServiceRunner.ts
+++ b/packages/requests/src/ServiceRunner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one call to a plain service under the same limits, retries and claims as model requests. An
- * answer with a status is an answer, whatever the status; only an idempotent call is sent again for one
- * that says that the server is unavailable.
+ * Runs one call to a plain service under the same limits, retries and claims as model requests. An answer
+ * goes to the caller whatever its status; only an idempotent call is retried after a status that says that
+ * the server is unavailable.
  */
 import { RunState } from '@skylarksail/core/CoreConstants';
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
@@ -36,28 +36,27 @@
 import type { DecisionName, ServerChoice } from './RouterTypes.js';
 import type { ServiceSink, ServiceSpec } from './ServiceTypes.js';
 
-/** Answers after which an idempotent call is worth another server: this one failed, the next may not. */
+/** Statuses after which an idempotent call is retried: another server may succeed. */
 const UNAVAILABLE_STATUSES: ReadonlySet<number> = new Set([500, 502, 503, 504]);
-const NO_SERVER_RETRY: Millis = 1000;
+const NO_SERVER_RETRY_DELAY: Millis = 1000;
 
-/** A running call. */
 export interface ServiceRun extends RequestHandle {
-  /** Ends it now, with the truth. */
+  /** Ends the call now with an error that states whether it has run. */
   onDrainLimit(): void;
 }
 
-/** Starts a call; its sink hears how it ends. */
+/** Starts a call; its sink receives the answer or the error. */
 export function startServiceRun(
   shared: RouterShared,
   admission: Admission,
   spec: ServiceSpec,
   sink: ServiceSink,
-  onGone: () => void,
+  onEnded: () => void,
 ): ServiceRun {
   const { deps } = shared;
   const { timers } = deps;
   const submittedAt = timers.now();
-  const undoDeadline = timers.registerTimeout(spec.deadline - submittedAt, () =>
+  const cancelDeadline = timers.registerTimeout(spec.deadline - submittedAt, () =>
     shared.post(() => fail(ProblemKind.Deadline, null)),
   );
   let listener: ServiceSink | null = sink;
@@ -68,7 +67,7 @@
   let run: RunStateName = RunState.NotRun;
   let avoid: readonly EngineId[] = [];
   let cancelCall: Unregister | null = null;
-  let undoTimeout: Unregister = () => undefined;
+  let cancelAttemptTimeout: Unregister = () => undefined;
   let choice: ServerChoice | null = null;
   let claim: ClaimHandle | null = null;
 
@@ -83,7 +82,7 @@
     }
     const chosen = deps.chooseServer(spec.service, avoid) ?? deps.chooseServer(spec.service, []);
     if (chosen === null) {
-      fail(ProblemKind.NoChain, NO_SERVER_RETRY);
+      fail(ProblemKind.NoChain, NO_SERVER_RETRY_DELAY);
       return;
     }
     const { server } = chosen;
@@ -95,7 +94,7 @@
     const openedAt = timers.now();
     const { id: request, team, priority, service, method, path, headers, body } = spec;
     const timeLeft = spec.deadline - openedAt;
-    watchSilence(current, server);
+    scheduleAttemptTimeout(current, server);
     cancelCall = deps.openServiceCall(
       {
         request,
@@ -112,48 +111,53 @@
       },
       {
         onAnswer: (answer) =>
-          shared.post(() => takeIfCurrent(current, () => takeAnswer(answer, server, openedAt))),
+          shared.post(() => handleIfCurrent(current, () => handleAnswer(answer, server, openedAt))),
         onFailure: (failure) =>
-          shared.post(() => takeIfCurrent(current, () => takeFailure(failure, server))),
+          shared.post(() => handleIfCurrent(current, () => handleFailure(failure, server))),
       },
     );
   }
 
-  /** Gives a silent server up if another may be tried. */
-  function watchSilence(of: number, server: EngineId): void {
+  /** Abandons a silent server after `attemptTimeout` if another server may be tried. */
+  function scheduleAttemptTimeout(watchedAttempt: number, server: EngineId): void {
     const mayRetry = spec.idempotent && fruitless + 1 < (spec.maxAttempts ?? Infinity);
     if (spec.attemptTimeout === undefined || !mayRetry) {
       return;
     }
-    undoTimeout = timers.registerTimeout(spec.attemptTimeout, () =>
+    cancelAttemptTimeout = timers.registerTimeout(spec.attemptTimeout, () =>
       shared.post(() => {
-        if (isOpen && of === attempt && hasBudget(shared, spec.service) && hasOther(server)) {
+        if (
+          isOpen &&
+          watchedAttempt === attempt &&
+          hasBudget(shared, spec.service) &&
+          hasOtherServer(server)
+        ) {
           cancelCall?.();
-          takeIfCurrent(of, () => takeFailure(SILENCE_FAILURE, server));
+          handleIfCurrent(watchedAttempt, () => handleFailure(SILENCE_FAILURE, server));
         }
       }),
     );
   }
 
-  /** A call that is sent to the same server again waits there behind all that came meanwhile. */
-  function hasOther(server: EngineId): boolean {
+  /** Whether there is another server: a call that is sent to the same one again queues there behind later calls. */
+  function hasOtherServer(server: EngineId): boolean {
     const other = deps.chooseServer(spec.service, [...avoid, server]);
     other?.release({ kind: 'cancelled' });
     return other !== null;
   }
 
-  function takeIfCurrent(of: number, take: () => void): void {
-    if (isEnded || !isOpen || of !== attempt) {
+  function handleIfCurrent(expectedAttempt: number, handle: () => void): void {
+    if (isEnded || !isOpen || expectedAttempt !== attempt) {
       countMetric(shared, 'lateFrames');
       return;
     }
     isOpen = false;
     cancelCall = null;
-    undoTimeout();
-    take();
+    cancelAttemptTimeout();
+    handle();
   }
 
-  function takeAnswer(answer: ServiceAnswer, server: EngineId, openedAt: Millis): void {
+  function handleAnswer(answer: ServiceAnswer, server: EngineId, openedAt: Millis): void {
     const firstToken = timers.now() - openedAt;
     admission.noteFirstToken(firstToken);
     const isUnavailable = UNAVAILABLE_STATUSES.has(answer.status);
@@ -163,13 +167,13 @@
         ? { kind: 'failed', engine: server, cause: 'refused' }
         : { kind: 'answered', firstToken, meanGap: null },
     );
-    if (isUnavailable && spec.idempotent && retry(server, readRetryAfter(answer))) {
+    if (isUnavailable && spec.idempotent && retry(server, parseRetryAfter(answer))) {
       return;
     }
     finish(answer);
   }
 
-  function takeFailure(failure: AttemptFailure, server: EngineId): void {
+  function handleFailure(failure: AttemptFailure, server: EngineId): void {
     const evidence = { acknowledged: false, tokens: 0, ended: false };
     const failureClass = classifyFailure(failure, evidence);
     run = combineRunStates(run, getRunState(failureClass));
@@ -188,7 +192,7 @@
     }
   }
 
-  /** Plans another try if the deadline and the budget allow it. */
+  /** Schedules a retry if the attempt limit, the deadline and the budget allow it. */
   function retry(server: EngineId, retryAfter: Millis | null): boolean {
     fruitless += 1;
     if (fruitless >= (spec.maxAttempts ?? Infinity)) {
@@ -214,7 +218,7 @@
     countMetric(shared, 'completed');
     log('complete', null, `${answer.status}`);
     const ended = listener;
-    leave();
+    cleanUp();
     ended?.onAnswer(answer);
   }
 
@@ -238,29 +242,29 @@
       `${problem.kind} ${problem.run}`,
     );
     const ended = listener;
-    leave();
+    cleanUp();
     ended?.onError(problem);
   }
 
-  function leave(): void {
+  function cleanUp(): void {
     isEnded = true;
     listener = null;
-    undoDeadline();
-    undoTimeout();
+    cancelDeadline();
+    cancelAttemptTimeout();
     cancelCall?.();
     release({ kind: 'cancelled' });
     admission.release(spec.id, timers.now());
-    onGone();
+    onEnded();
   }
 
-  function getAsk(): AdmissionRequest {
+  function getAdmissionRequest(): AdmissionRequest {
     const { id, team, priority, deadline } = spec;
     return { id, team, priority, cost: 1, kvTokens: 0, deadline, duration: 0 };
   }
 
   function enqueue(): void {
     admission.enqueue(
-      getAsk(),
+      getAdmissionRequest(),
       {
         onAdmitted: () => {
           countMetric(shared, 'admitted');
@@ -273,9 +277,9 @@
     );
   }
 
-  /** A key is claimed first, as with model requests: an answer that is held needs no server. */
-  function askAdmission(): void {
-    const retryAfter = admission.check(getAsk(), timers.now());
+  /** Runs after the key is claimed, as with model requests: a stored answer needs no server. */
+  function requestAdmission(): void {
+    const retryAfter = admission.check(getAdmissionRequest(), timers.now());
     if (retryAfter === null) {
       enqueue();
     } else {
@@ -289,7 +293,7 @@
     } else if (shared.isDraining()) {
       fail(ProblemKind.Draining, 0);
     } else if (spec.idempotent || spec.idempotencyKey === null) {
-      askAdmission();
+      requestAdmission();
     } else {
       const content = Buffer.from(spec.body).toString('base64');
       const fingerprint = hash64Hex(`${spec.service} ${spec.method} ${spec.path} ${content}`);
@@ -297,7 +301,7 @@
         shared,
         { ...spec, key: spec.idempotencyKey, fingerprint },
         {
-          onGranted: askAdmission,
+          onGranted: requestAdmission,
           onReplayed: (answer) => finish(decodeServiceAnswer(answer)),
           onRefused: failWith,
         },
@@ -308,10 +312,10 @@
   function cancel(): void {
     shared.post(() => {
       if (claim !== null && isOpen) {
-        // Keyed work that runs goes on, so that a resend finds its answer.
-        const left = listener;
+        // A keyed call that runs continues, so that a resend finds the answer.
+        const hungUpListener = listener;
         listener = null;
-        left?.onError({
+        hungUpListener?.onError({
           kind: ProblemKind.HungUp,
           run: RunState.Unknown,
           retryAfter: null,
@@ -330,8 +334,8 @@
   };
 }
 
-/** Reads a wait in seconds; a date is left to the backoff, since no clock of others is trusted. */
-function readRetryAfter(answer: ServiceAnswer): Millis | null {
+/** Parses `Retry-After` in seconds; a date falls back to the backoff, since other machines' clocks are not trusted. */
+function parseRetryAfter(answer: ServiceAnswer): Millis | null {
   const seconds = Number(answer.headers['retry-after']);
   return Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : null;
 }
--- a/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
@@ -8,14 +8,14 @@
 const DURATION = 1000;
 const SLOTS = 20;
 
-interface Ask {
+interface SentRequest {
   readonly team: string;
   readonly priority?: PriorityName;
-  readonly patience?: Millis;
+  readonly timeout?: Millis;
 }
 
-/** A gate before engines that run `SLOTS` requests of one second each at the same time. */
-function createGate(queueLimit = 1000) {
+/** Creates admission for simulated engines that run `SLOTS` requests of one second each at a time. */
+function createSimulation(queueLimit = 1000) {
   const timers = createVirtualTimers();
   const limits = { ...DEFAULT_LIMIT_CONFIG, initial: SLOTS, most: SLOTS };
   const admission = createAdmission(
@@ -33,11 +33,11 @@
   let count = 0;
   timers.registerInterval(100, () => admission.sweep(timers.now()));
 
-  function send({ team, priority = 'normal', patience = 3000 }: Ask): void {
+  function send({ team, priority = 'normal', timeout = 3000 }: SentRequest): void {
     count += 1;
     const id = `r${count}`;
     const sentAt = timers.now();
-    const deadline = sentAt + patience;
+    const deadline = sentAt + timeout;
     const ask = { id, team, priority, cost: 100, kvTokens: 0, deadline, duration: DURATION };
     const name = `${team} ${priority}`;
     function refuse(retryAfter: Millis): void {
@@ -58,7 +58,7 @@
     admission.enqueue(ask, { onAdmitted, onRefused: refuse }, sentAt);
   }
 
-  function sendEvery(period: Millis, ask: Ask): void {
+  function sendEvery(period: Millis, ask: SentRequest): void {
     timers.registerInterval(period, () => send(ask));
   }
   return { timers, admission, send, sendEvery, done, refused, refusals };
@@ -66,59 +66,62 @@
 
 describe('RequestAdmission', () => {
   it('keeps goodput at three times the bound within 5% of goodput at the bound', () => {
-    // Guards against a queue of requests that will be past their deadlines once they run.
-    const atBound = createGate();
+    // Guards against queueing requests that will have passed their deadlines by the time they run.
+    const atBound = createSimulation();
     atBound.sendEvery(DURATION / SLOTS, { team: 't' });
     atBound.timers.advanceTo(60_000);
-    const over = createGate();
+    const over = createSimulation();
     over.sendEvery(DURATION / SLOTS / 3, { team: 't' });
     over.timers.advanceTo(60_000);
     const ratio = (over.done['t normal'] ?? 0) / (atBound.done['t normal'] ?? 0);
     expect(ratio).to.be.within(0.95, 1.05);
   });
 
-  it('answers at once whom it gives up on, with a time to come back', () => {
-    // Guards against a caller that waits out its deadline to hear that it was never going to run.
-    const gate = createGate();
-    gate.sendEvery(DURATION / SLOTS / 3, { team: 't' });
-    gate.timers.advanceTo(10_000);
-    const late = gate.refusals.slice(-100);
+  it('refuses requests that cannot meet their deadline early, with a retry delay', () => {
+    // Guards against refusing a request only at its deadline although it never had a chance to run.
+    const simulation = createSimulation();
+    simulation.sendEvery(DURATION / SLOTS / 3, { team: 't' });
+    simulation.timers.advanceTo(10_000);
+    const late = simulation.refusals.slice(-100);
     expect(late.every(({ retryAfter }) => retryAfter >= 250)).to.equal(true);
     const atOnce = late.filter(({ wait }) => wait === 0).length;
     expect(atOnce).to.be.at.least(60);
     expect(Math.max(...late.map(({ wait }) => wait))).to.be.at.most(3000 - DURATION + 100);
   });
 
-  it('lets a flooding team take nothing from the share of another', () => {
-    // Guards against one team's flood that makes the requests of all others time out.
-    const gate = createGate();
-    gate.sendEvery(DURATION / SLOTS / 10, { team: 'flood', patience: 8000 });
-    gate.timers.advanceTo(5000);
-    gate.sendEvery((DURATION / SLOTS) * 2.5, { team: 'calm' });
-    gate.timers.advanceTo(35_000);
+  it('isolates the share of a team from the flood of another', () => {
+    // Guards against a flood from one team that makes the requests of all other teams time out.
+    const simulation = createSimulation();
+    simulation.sendEvery(DURATION / SLOTS / 10, { team: 'flood', timeout: 8000 });
+    simulation.timers.advanceTo(5000);
+    simulation.sendEvery((DURATION / SLOTS) * 2.5, { team: 'calm' });
+    simulation.timers.advanceTo(35_000);
     const sent = Math.floor(30_000 / ((DURATION / SLOTS) * 2.5));
-    expect(gate.refused['calm normal'] ?? 0).to.equal(0);
-    expect(gate.done['calm normal']).to.be.at.least(sent - 25);
-    const total = (gate.done['calm normal'] ?? 0) + (gate.done['flood normal'] ?? 0);
+    expect(simulation.refused['calm normal'] ?? 0).to.equal(0);
+    expect(simulation.done['calm normal']).to.be.at.least(sent - 25);
+    const total = (simulation.done['calm normal'] ?? 0) + (simulation.done['flood normal'] ?? 0);
     expect(total).to.be.at.least(0.95 * SLOTS * 34);
   });
 
-  it('refuses the lower priority first', () => {
-    // Guards against an urgent request that waits behind a full queue of lesser ones.
-    const gate = createGate(10);
+  it('evicts lower priorities first when the queue is full', () => {
+    // Guards against urgent requests that wait behind a full queue of lower priorities.
+    const simulation = createSimulation(10);
     for (let i = 0; i < SLOTS + 10; i++) {
-      gate.send({ team: 't', priority: 'low' });
+      simulation.send({ team: 't', priority: 'low' });
     }
     for (let i = 0; i < 5; i++) {
-      gate.send({ team: 't', priority: 'urgent' });
+      simulation.send({ team: 't', priority: 'urgent' });
     }
-    expect([gate.refused['t low'], gate.refused['t urgent']]).to.deep.equal([5, undefined]);
-    gate.timers.advanceTo(3000);
-    expect(gate.done['t urgent']).to.equal(5);
+    expect([simulation.refused['t low'], simulation.refused['t urgent']]).to.deep.equal([
+      5,
+      undefined,
+    ]);
+    simulation.timers.advanceTo(3000);
+    expect(simulation.done['t urgent']).to.equal(5);
   });
 
-  it('admits no more than the KV memory holds, but always one', () => {
-    // Guards against requests that are counted by slots alone, and evict each other from the KV cache.
+  it('limits admission by KV memory, but always admits one request', () => {
+    // Guards against admission by slots alone, which lets requests evict each other from the KV cache.
     const running: string[] = [];
     const admission = createAdmission(
       {
@@ -146,19 +149,19 @@
     expect(running).to.deep.equal(['larger than all', 'a', 'b', 'c']);
   });
 
-  it('lowers its limit while tokens come late, and raises it again', () => {
-    // Guards against a limit that is set once: half of the engines are lost, every answer is late, none is refused.
-    const gate = createGate();
-    const before = gate.admission.getLimit();
-    gate.timers.registerInterval(20, () => {
-      const isCrowded = gate.timers.now() > 1000 && gate.timers.now() < 5000;
-      gate.admission.noteGap(isCrowded ? 160 : 30);
+  it('lowers the limit while tokens are late, and raises it again', () => {
+    // Guards against a fixed limit: after the loss of half the engines, all answers would be late and none refused.
+    const simulation = createSimulation();
+    const before = simulation.admission.getLimit();
+    simulation.timers.registerInterval(20, () => {
+      const isOverloaded = simulation.timers.now() > 1000 && simulation.timers.now() < 5000;
+      simulation.admission.noteGap(isOverloaded ? 160 : 30);
     });
-    gate.timers.advanceTo(5000);
-    const fallen = gate.admission.getLimit();
-    expect(fallen).to.be.below(before / 2);
-    gate.sendEvery(20, { team: 't' });
-    gate.timers.advanceTo(20_000);
-    expect(gate.admission.getLimit()).to.be.above(fallen * 2);
+    simulation.timers.advanceTo(5000);
+    const lowered = simulation.admission.getLimit();
+    expect(lowered).to.be.below(before / 2);
+    simulation.sendEvery(20, { team: 't' });
+    simulation.timers.advanceTo(20_000);
+    expect(simulation.admission.getLimit()).to.be.above(lowered * 2);
   });
 });
--- a/packages/requests/src/__tests__/unit/RequestBudget.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestBudget.test.ts
@@ -13,8 +13,8 @@
 const WINDOW = 10_000;
 
 describe('RequestBudget', () => {
-  it('keeps repeats within share and burst in any ten seconds', () => {
-    // Guards against a budget that fills up by itself, or counts first tries of an earlier window.
+  it('limits retries to share and burst in any window of ten seconds', () => {
+    // Guards against a budget that refills by itself, or counts first attempts of an earlier window.
     const steps = fc.array(
       fc.record({ wait: fc.integer({ min: 0, max: 3000 }), isRetry: fc.boolean() }),
       { maxLength: 300 },
@@ -23,30 +23,31 @@
       fc.property(steps, (list) => {
         let budget: RetryBudget = createRetryBudget({ share: 0.2, burst: 5, window: WINDOW });
         let now = 0;
-        const tries: number[] = [];
-        const repeats: number[] = [];
+        const firstAttempts: number[] = [];
+        const retries: number[] = [];
         for (const { wait, isRetry } of list) {
           now += wait;
           const taken = isRetry ? takeRetry(budget, now) : null;
           if (taken) {
-            repeats.push(now);
+            retries.push(now);
             budget = taken;
           } else if (!isRetry) {
-            tries.push(now);
+            firstAttempts.push(now);
             budget = noteFirstAttempt(budget, now);
           }
         }
-        for (const start of repeats) {
+        for (const start of retries) {
           const isIn = (at: number): boolean => at >= start && at < start + WINDOW;
           const allowed =
-            5 + 0.2 * tries.filter((at) => at < start + WINDOW && at >= start - WINDOW).length;
-          expect(repeats.filter(isIn).length).to.be.at.most(allowed);
+            5 +
+            0.2 * firstAttempts.filter((at) => at < start + WINDOW && at >= start - WINDOW).length;
+          expect(retries.filter(isIn).length).to.be.at.most(allowed);
         }
       }),
     );
   });
 
-  it('gives back what reached no engine, and follows the fleet in its burst', () => {
+  it('refunds retries that reached no engine, and applies a changed burst', () => {
     let budget = createRetryBudget({ share: 0, burst: 1, window: WINDOW });
     budget = takeRetry(budget, 0) ?? budget;
     expect(hasRetry(budget, 0)).to.equal(false);
@@ -55,19 +56,19 @@
     expect(hasRetry(budget, WINDOW + 1000)).to.equal(true);
   });
 
-  it('renews the burst no sooner than the window says', () => {
-    // Guards against a burst that is renewed more often than the deployment's window says.
-    const countRepeats = (window: number): number => {
+  it('renews the burst only once per window', () => {
+    // Guards against renewing the burst more often than the configured window allows.
+    const countRetries = (window: number): number => {
       let budget = createRetryBudget({ share: 0, burst: 5, window });
-      let repeats = 0;
+      let retries = 0;
       for (let now = 0; now < 60_000; now += 100) {
         const taken = takeRetry(budget, now);
-        repeats += taken ? 1 : 0;
+        retries += taken ? 1 : 0;
         budget = taken ?? budget;
       }
-      return repeats;
+      return retries;
     };
-    expect(countRepeats(60_000)).to.equal(5);
-    expect(countRepeats(10_000)).to.be.within(25, 30);
+    expect(countRetries(60_000)).to.equal(5);
+    expect(countRetries(10_000)).to.be.within(25, 30);
   });
 });
--- a/packages/requests/src/__tests__/unit/RequestFakes.ts
+++ b/packages/requests/src/__tests__/unit/RequestFakes.ts
@@ -1,4 +1,4 @@
-/** Ports of the router for tests: engines that do only what a test tells them, and a record of all. */
+/** Fake router ports for tests: engines that a test controls, and a record of all calls. */
 import type { Chain, Stage } from '@skylarksail/core/CoreChain';
 import { createChain } from '@skylarksail/core/CoreChain';
 import { invariant } from '@skylarksail/core/CoreErrors';
@@ -32,7 +32,7 @@
 export const VARIANT = { model: 'm', version: 'v1', adapter: null };
 const LAYERS = 12;
 
-/** What the sink of a request heard. */
+/** What the sink of a request received. */
 export interface ReceivedAnswer {
   readonly tokens: string[];
   readonly ends: string[];
@@ -40,7 +40,7 @@
   readonly handle: RequestHandle;
 }
 
-/** A call as the fake engines got it. */
+/** A call that the fake engines received. */
 export interface OpenedCall {
   readonly call: EngineCall;
   readonly listener: EngineCallListener;
@@ -53,7 +53,7 @@
   readonly listener: ServiceCallListener;
 }
 
-/** A claim that a test answers. */
+/** A claim whose outcome the test decides. */
 export interface OpenedClaim {
   readonly ask: ClaimAsk;
   readonly answer: (outcome: ClaimOutcome) => void;
@@ -69,12 +69,12 @@
   readonly decisions: DecisionRecord[];
   readonly metrics: RouterMetric[];
   submit(id: string, change?: Partial<RequestSpec>): ReceivedAnswer;
-  /** The newest call. */
+  /** Returns the newest call. */
   last(): OpenedCall;
   count(name: RouterMetric['name']): number;
 }
 
-/** Engines `a…` hold the first half of the layers, `b…` the second. */
+/** Creates a router with fake ports. By default engines `a…` hold the first half of the layers, `b…` the second. */
 export function createFakeWorld(
   change: Partial<RouterDeps> = {},
   engines: readonly (readonly EngineId[])[] = [
@@ -99,14 +99,14 @@
   };
 
   function choose(
-    wish: ChainRequest,
+    request: ChainRequest,
     kept: Chain | null,
     failed: readonly EngineId[],
   ): ChainChoice {
     const stages: (Stage | null)[] = engines.map((group, i) => {
       const before = kept?.stages[i]?.engine;
       const isKept = before !== undefined && !failed.includes(before);
-      const engine = isKept ? before : group.find((id) => !wish.avoid.includes(id));
+      const engine = isKept ? before : group.find((id) => !request.avoid.includes(id));
       const first = (i * LAYERS) / engines.length;
       return engine ? { engine, layers: { first, end: first + LAYERS / engines.length } } : null;
     });
@@ -129,8 +129,8 @@
     cfg: DEFAULT_ROUTER_CONFIG,
     timers,
     random: createRandom(1),
-    chooseChain: (wish) => choose(wish, null, []),
-    chooseRepair: (wish) => choose(wish, wish.broken, wish.failed),
+    chooseChain: (request) => choose(request, null, []),
+    chooseRepair: (request) => choose(request, request.broken, request.failed),
     openEngineCall: (call, listener) => {
       const opened = { call, listener, openedAt: timers.now(), isCancelled: false };
       calls.push(opened);
@@ -207,12 +207,12 @@
   };
 }
 
-/** Acknowledges a call as its engines should. */
+/** Acknowledges a call with the chain that it asked for. */
 export function acknowledge({ call, listener }: OpenedCall): void {
   listener.onAcknowledged({ variant: call.chain.variant, stages: call.chain.stages });
 }
 
-/** Gives tokens `from` to `to`, one every `gap`, the words of the true answer. */
+/** Sends the expected tokens from index `from` up to, not including, `to`, one every `gap`. */
 export function sendTokens(
   world: FakeWorld,
   opened: OpenedCall,
@@ -226,7 +226,7 @@
   }
 }
 
-/** The words of the true answer. */
+/** Returns the first tokens of the expected answer. */
 export function listWords(count: number): string[] {
   return Array.from({ length: count }, (_, i) => `w${i}`);
 }
--- a/packages/requests/src/__tests__/unit/RequestFull.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestFull.test.ts
@@ -16,7 +16,7 @@
   );
 }
 
-/** A world in which no request may be sent twice. */
+/** Creates a world whose retry budget is empty. */
 function createWorldWithoutRetries(deps: Partial<RouterDeps> = {}): FakeWorld {
   const cfg = {
     ...DEFAULT_ROUTER_CONFIG,
@@ -28,9 +28,9 @@
   return createFakeWorld({ cfg, ...deps }, ENGINES);
 }
 
-describe('Engines that are full', () => {
-  it('tells a refused caller at once when to come back, however long it would wait', () => {
-    // Guards against a wait for the retry budget until the caller has left, whose next try would take nothing from it.
+describe('Overloaded engines', () => {
+  it('refuses a request without budget at once with a retry delay, whatever its wait timeout', () => {
+    // Guards against waiting for the retry budget until the caller disconnects; a resend would not need the budget.
     for (let patience = 50; patience <= 2000; patience += 50) {
       const world = createWorldWithoutRetries();
       const heard = world.submit('r', { patience });
@@ -40,12 +40,12 @@
       expect(heard.problems.map(({ run, kind }) => [run, kind])).to.deep.equal([
         ['not-run', 'overloaded'],
       ]);
-      // Not before lost layers are held again, and within a third of the 20 s that its caller has.
+      // Not before lost layers can be loaded again, and within a third of the 20 s of the deadline.
       expect(heard.problems[0]?.retryAfter).to.be.within(1500, 20_000 / 3);
     }
   });
 
-  it('lets a caller that has part of its answer wait for the rest', () => {
+  it('lets a request with a partial answer wait for the budget', () => {
     const world = createWorldWithoutRetries();
     const heard = world.submit('r', { patience: PATIENCE });
     const running = world.last();
@@ -56,8 +56,8 @@
     expect(heard.problems).to.deep.equal([]);
   });
 
-  it('tells a caller at once whose next attempt would come after it has left', () => {
-    // Guards against a request that waits for a full engine's time to come back until its caller has gone unserved.
+  it('refuses a request at once if its next attempt would come after its wait timeout', () => {
+    // Guards against waiting for the retry delay of an overloaded engine until the caller has disconnected.
     const world = createFakeWorld({ cfg: { ...DEFAULT_ROUTER_CONFIG, retryBurst: 10 } }, ENGINES);
     const heard = world.submit('r', { patience: PATIENCE, breakAfter: PATIENCE });
     const failure = { place: FailurePlace.Refused, engine: 'a1', status: 503, provenNotRun: true };
@@ -66,8 +66,8 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('sends nothing to engines for a caller that has waited for a chain until it leaves', () => {
-    // Guards against a request that reaches engines for nothing, and is then told as one that may have run.
+  it('sends nothing to engines once the wait timeout has passed without a chain', () => {
+    // Guards against a request that reaches engines in vain and is then reported as possibly run.
     const engines: string[][] = [['a1'], []];
     const world = createFakeWorld({}, engines);
     const heard = world.submit('r', { patience: PATIENCE, breakAfter: PATIENCE });
@@ -80,8 +80,8 @@
     expect(world.calls).to.have.length(0);
   });
 
-  it('lends repeats first to callers that have a part of their answer', () => {
-    // Guards against a begun answer that stands still, since requests that could go elsewhere take each repeat.
+  it('gives retries first to requests with a partial answer', () => {
+    // Guards against stalled partial answers: new requests, which could go elsewhere, would take every retry.
     let burst = 0;
     const world = createWorldWithoutRetries({ getRetryBurst: () => burst });
     const heard = world.submit('begun', { patience: PATIENCE, breakAfter: PATIENCE });
@@ -102,8 +102,8 @@
     expect(world.last().call.request).to.equal('begun');
   });
 
-  it('breaks off no answer that stands still while planned work goes on', () => {
-    // Guards against an answer that is broken off for standing still while planned work is the cause.
+  it('does not break off a stalled answer during planned work', () => {
+    // Guards against breaking off an answer whose stall is caused by planned work.
     for (const mayBreakOff of [true, false]) {
       const deps = { mayBreakOff: () => mayBreakOff };
       const world = createWorldWithoutRetries(deps);
@@ -117,8 +117,8 @@
     }
   });
 
-  it('keeps new requests off a full engine though answers that it runs go on', () => {
-    // Guards against a full engine that gets new requests, and refuses them, because the answers which it runs go on.
+  it('avoids an overloaded engine for new requests although its running answers progress', () => {
+    // Guards against sending new requests to an engine that refuses them while its running answers progress.
     const world = createWorldWithoutRetries();
     world.submit('running');
     const running = world.last();
@@ -132,7 +132,7 @@
     expect(world.last().call.chain.stages[0]?.engine).to.equal('a2');
   });
 
-  it('keeps off longer the more often an engine refuses, until it takes something new', () => {
+  it('increases the backoff with each refusal of an engine, until it accepts a new request', () => {
     const progress = createProgressTracker();
     const isOff = (now: number): boolean => progress.listDown(now).dead.includes('e');
     const chain = {
--- a/packages/requests/src/__tests__/unit/RequestMachine.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestMachine.test.ts
@@ -13,12 +13,12 @@
 import { createFailure, VARIANT } from './RequestFakes.js';
 
 const MAX_TOKENS = 6;
-const made = createChain(VARIANT, 2, [
+const createdChain = createChain(VARIANT, 2, [
   { engine: 'a', layers: { first: 0, end: 1 } },
   { engine: 'b', layers: { first: 1, end: 2 } },
 ]);
-invariant(made.ok, 'the stages form a chain');
-const chain = made.value;
+invariant(createdChain.ok, 'the stages form a chain');
+const chain = createdChain.value;
 const limits = {
   acknowledgement: 300,
   firstToken: 400,
@@ -62,8 +62,8 @@
   })),
 );
 
-/** Steps a machine through events, a token or two at a time to get far enough. */
-function run(idempotent: boolean, events: readonly RequestEvent[]) {
+/** Steps a new machine through the events, one every 10 ms, and collects its states and effects. */
+function runEvents(idempotent: boolean, events: readonly RequestEvent[]) {
   let machine: RequestMachine = createRequestMachine({ idempotent, maxTokens: MAX_TOKENS }, 0);
   const effects: RequestEffect[] = [];
   const states: RequestMachine[] = [];
@@ -77,8 +77,8 @@
 }
 
 describe('RequestMachine', () => {
-  it('runs on no more engines than it may, those that died under it not counted', () => {
-    // Guards against silent attempts that don't count, so that a request runs on more engines than its route allows.
+  it('runs on at most its maximum number of engines, not counting those that died during an attempt', () => {
+    // Guards against not counting silent attempts, so that a request runs on more engines than its route allows.
     const silent = (n: number): RequestEvent => ({
       kind: 'failure',
       attempt: n,
@@ -93,13 +93,13 @@
       suspects: [],
       isSlow: false,
     });
-    const play = (failures: readonly ((n: number) => RequestEvent)[]): RequestMachine => {
+    const runFailures = (failures: readonly ((n: number) => RequestEvent)[]): RequestMachine => {
       const spec = { idempotent: true, maxTokens: MAX_TOKENS, maxAttempts: 2 };
       let { machine } = stepRequest(createRequestMachine(spec, 0), { kind: 'admitted' }, 0);
-      failures.forEach((fail, i) => {
+      failures.forEach((createEvent, i) => {
         const events: readonly RequestEvent[] = [
           { kind: 'chosen', chain, importFrom: [], limits },
-          fail(i + 1),
+          createEvent(i + 1),
           { kind: 'retry-granted', failed: [] },
         ];
         events.forEach((event) => {
@@ -108,11 +108,11 @@
       });
       return machine;
     };
-    expect(play([silent, silent]).phase).to.equal('ended');
-    expect(play([died, silent]).phase).to.equal('choosing');
+    expect(runFailures([silent, silent]).phase).to.equal('ended');
+    expect(runFailures([died, silent]).phase).to.equal('choosing');
   });
 
-  it('waits for engines as long as it has patience, and then says that it has not run', () => {
+  it('waits for engines until its wait limit, and then reports that it has not run', () => {
     const spec = { idempotent: true, maxTokens: MAX_TOKENS, patience: 100 };
     const none: RequestEvent = {
       kind: 'no-chain',
@@ -132,14 +132,14 @@
     });
   });
 
-  it('keeps its promises whatever comes, in whatever order', () => {
+  it('keeps its invariants for any sequence of events', () => {
     fc.assert(
       fc.property(fc.boolean(), fc.array(anyEvent, { maxLength: 60 }), (idempotent, tail) => {
         const start: RequestEvent[] = [
           { kind: 'admitted' },
           { kind: 'chosen', chain, importFrom: [], limits },
         ];
-        const { effects, machine } = run(idempotent, [...start, ...tail]);
+        const { effects, machine } = runEvents(idempotent, [...start, ...tail]);
         const tokens = effects.filter((effect) => effect.kind === 'token');
         expect(tokens.map((effect) => effect.index)).to.deep.equal(tokens.map((_, i) => i));
         const ends = effects.filter(({ kind }) => ['complete', 'fail', 'replay'].includes(kind));
@@ -159,37 +159,37 @@
     );
   });
 
-  it('runs non-idempotent work again only after a proof that it has not run', () => {
-    // Guards against "no answer" that is taken for "not run", and a receipt that is written twice.
+  it('retries non-idempotent work only if it is proven not to have run', () => {
+    // Guards against treating a missing answer as proof that the work has not run, so that a receipt is written twice.
     const start: RequestEvent[] = [
       { kind: 'admitted' },
       { kind: 'chosen', chain, importFrom: [], limits },
     ];
     for (const where of Object.values(FailurePlace)) {
       const failure = createFailure({ place: where });
-      const { effects, machine } = run(false, [
+      const { effects, machine } = runEvents(false, [
         ...start,
         { kind: 'failure', attempt: 1, failure, suspects: [], isSlow: false },
       ]);
-      const isAskedAgain = effects.some(({ kind }) => kind === 'ask-retry');
-      expect(isAskedAgain, where).to.equal(where === FailurePlace.Connect);
-      expect(getMachineRun(machine) === RunState.NotRun, where).to.equal(isAskedAgain);
+      const isRetried = effects.some(({ kind }) => kind === 'ask-retry');
+      expect(isRetried, where).to.equal(where === FailurePlace.Connect);
+      expect(getMachineRun(machine) === RunState.NotRun, where).to.equal(isRetried);
     }
   });
 
-  it('believes what it saw over an engine that says it did not run', () => {
-    // Guards against an engine's word that it did not run, passed on although a token of the attempt had come.
+  it("prefers its own observations to an engine's report that it did not run", () => {
+    // Guards against forwarding an engine's `not run` report although a token of the attempt had arrived.
     const failure = createFailure({ place: FailurePlace.Refused, provenNotRun: true });
-    const saw = (acknowledged: boolean, tokens: number) =>
+    const classify = (acknowledged: boolean, tokens: number) =>
       classifyFailure(failure, { acknowledged, tokens, ended: false });
-    expect(saw(false, 0)).to.equal(FailureClass.NotRun);
-    expect(saw(true, 0)).to.equal(FailureClass.Unknown);
-    expect(saw(true, 1)).to.equal(FailureClass.RanInPart);
+    expect(classify(false, 0)).to.equal(FailureClass.NotRun);
+    expect(classify(true, 0)).to.equal(FailureClass.Unknown);
+    expect(classify(true, 1)).to.equal(FailureClass.RanInPart);
   });
 
-  it('never forgets that an earlier attempt may have run', () => {
-    // Guards against a caller that is told of its last attempt only, when an earlier one may have run.
-    const { effects } = run(true, [
+  it('reports that an earlier attempt may have run', () => {
+    // Guards against reporting only the last attempt's run state to the caller, when an earlier one may have run.
+    const { effects } = runEvents(true, [
       { kind: 'admitted' },
       { kind: 'chosen', chain, importFrom: [], limits },
       {
@@ -214,9 +214,9 @@
     expect(end?.kind === 'fail' && end.problem.run).to.equal(RunState.Unknown);
   });
 
-  it('gives a stream another chance after the process itself was paused', () => {
-    // Guards against a sleep of our own that is taken for the silence of all engines.
-    const { machine } = run(true, [
+  it('restarts the silence timer of a stream after its own process was paused', () => {
+    // Guards against treating a pause of the router's process as silence of all engines.
+    const { machine } = runEvents(true, [
       { kind: 'admitted' },
       { kind: 'chosen', chain, importFrom: [], limits },
     ]);
--- a/packages/requests/src/__tests__/unit/RequestPoison.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestPoison.test.ts
@@ -22,14 +22,14 @@
   listEngines,
 } from './RequestFakes.js';
 
-/** Notes crashes, a minute apart, each with its suspects. */
+/** Records a crash of an engine with its suspects. */
 function crash(state: PoisonState, suspects: readonly string[], engine: string, now: number) {
   const id = createCrashId(engine, 'boot', false);
   return suspects.reduce((next, suspect) => noteCrash(next, id, suspect, now), state);
 }
 
 describe('RequestPoison', () => {
-  it('condemns the one request that was at two crashes, and no bystander', () => {
+  it('condemns only the request that is common to two crashes', () => {
     let state = crash(createPoisonState(2), ['poison', 'b1', 'b2'], 'x', 0);
     expect(judgeRequest(state, 'poison', 1)).to.equal(PoisonVerdict.Suspect);
     state = crash(state, ['poison', 'b3'], 'y', 60_000);
@@ -40,8 +40,8 @@
     expect(verdicts).to.deep.equal([Condemned, Suspect, Suspect, Suspect, Clean]);
   });
 
-  it('clears an honest request that happened to be there twice', () => {
-    // Guards against an honest request that is refused since it shared two engines with one that crashes them.
+  it('clears a harmless request that was running at two crashes by chance', () => {
+    // Guards against refusing a harmless request that shared two engines with a poison request.
     let state = crash(createPoisonState(2), ['poison', 'honest'], 'x', 0);
     state = crash(state, ['poison', 'honest'], 'y', 60_000);
     expect(judgeRequest(state, 'honest', 61_000)).to.equal(PoisonVerdict.Ambiguous);
@@ -50,8 +50,8 @@
     expect(judgeRequest(state, 'poison', 61_001)).to.equal(PoisonVerdict.Condemned);
   });
 
-  it('waits for what other instances saw before it condemns', () => {
-    // Guards against a verdict by one instance's list of suspects, which condemns a bystander.
+  it('waits for the reports of other instances before it condemns', () => {
+    // Guards against condemning a bystander from the incomplete suspects of a single instance.
     const seen = crash(
       crash(createPoisonState(2), ['bystander'], 'x', 0),
       ['bystander'],
@@ -65,8 +65,8 @@
     expect(judgeRequest(seen, 'bystander', 2000)).to.equal(PoisonVerdict.Condemned);
   });
 
-  it('counts no broken link and no lost rack against a request', () => {
-    // Guards against broken links and lost racks that are counted as crashes against what ran there.
+  it('does not count failed links and lost racks as crashes', () => {
+    // Guards against blaming requests for failed links and lost racks.
     let state = crash(createPoisonState(2), ['honest'], 'x', 0);
     state = crash(state, ['honest'], 'y', 60_000);
     state = noteAlive(state, createCrashId('x', 'boot', false));
@@ -77,7 +77,7 @@
     expect(judgeRequest(rack, 'honest', 100)).to.equal(PoisonVerdict.Clean);
   });
 
-  it('merges digests in any order, any number of times, to the same state', () => {
+  it('merges digests commutatively and idempotently', () => {
     const report = fc.record({
       crash: fc.constantFrom('c1', 'c2', 'c3'),
       age: fc.integer({ min: 0, max: 1000 }),
@@ -106,7 +106,7 @@
     );
   });
 
-  it('forgets old crashes, also when instances tell each other of them for ever', () => {
+  it('expires old crashes even if instances keep exchanging them', () => {
     const state = crash(createPoisonState(2), ['p'], 'x', 0);
     const later = createPoisonDigest(state, CRASH_RETENTION - 10);
     const other = mergePoisonDigest(createPoisonState(2), later, 0);
@@ -114,8 +114,8 @@
     expect(judgeRequest(other, 'p', 11)).to.equal(PoisonVerdict.Clean);
   });
 
-  it('does not take engines that leave for engines that crash', () => {
-    // Guards against a request that is refused as one that crashes engines, since two were replaced under it.
+  it('does not count engines that leave as crashed', () => {
+    // Guards against refusing a request as poison because two engines that it ran on were replaced.
     const leaving = new Set(['a1', 'a2']);
     const world = createFakeWorld({ isEnding: (engine) => leaving.has(engine) });
     const heard = world.submit('r');
@@ -133,8 +133,8 @@
     expect([heard.ends, heard.problems]).to.deep.equal([['stop'], []]);
   });
 
-  it('stops at the second engine, there and at the instance that its caller turns to', () => {
-    // Guards against a request that crashes one engine after the other, recovered on the next each time.
+  it('stops a poison request after two crashes, on this instance and on the one it is resent to', () => {
+    // Guards against a request that crashes one engine after another because each crash is recovered.
     const world = createFakeWorld();
     const heard = world.submit('r', { prompt: 'poison' });
     const bystander = world.submit('b');
@@ -145,7 +145,7 @@
     beside?.listener.onFailure(createFailure({ place: FailurePlace.Stream, engine: 'a1' }));
     const besideAgain = world.last();
     const shared = listEngines(again).filter((id) => listEngines(besideAgain).includes(id));
-    expect(shared, 'suspects are kept apart').to.deep.equal([]);
+    expect(shared, 'suspects run on separate engines').to.deep.equal([]);
     acknowledge(again);
     again.listener.onFailure(
       createFailure({ place: FailurePlace.Stream, engine: listEngines(again)[0] ?? null }),
--- a/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
@@ -10,9 +10,9 @@
   listWords,
 } from './RequestFakes.js';
 
-describe('Recovery of an answer that broke off', () => {
-  it('goes on after the last token on a chain with only the dead stage replaced', () => {
-    // Guards against an answer that begins anew after a stage died, or takes a late frame of the dead attempt.
+describe('Recovery of an interrupted answer', () => {
+  it('continues after the last token on a chain with only the dead stage replaced', () => {
+    // Guards against an answer that restarts after a stage died, or that accepts a late frame of the failed attempt.
     const world = createFakeWorld();
     const heard = world.submit('r');
     const first = world.last();
@@ -32,8 +32,8 @@
     expect([world.count('lateFrames'), world.count('repeatedFrames')]).to.deep.equal([1, 1]);
   });
 
-  it('finds a hung stage by silence and blames only the stage that no other stream clears', () => {
-    // Guards against a hung stage that is found by a fixed timeout, and blamed on the whole chain.
+  it('detects a hung stage by its silence, and replaces only the stage without progress in other streams', () => {
+    // Guards against a hung stage that is detected only by a fixed timeout and attributed to the whole chain.
     const world = createFakeWorld();
     const hung = world.submit('hung');
     const call = world.last();
@@ -60,8 +60,8 @@
     expect(hung.tokens).to.deep.equal(listWords(12));
   });
 
-  it('finds soon that the way to all engines of a chain is cut', () => {
-    // Guards against silence of a whole chain that is borne as if a slow link were the cause.
+  it('quickly detects that all engines of a chain are unreachable', () => {
+    // Guards against tolerating the silence of a whole chain as if a slow link were the cause.
     const links = { notePaces: () => undefined, isSlow: () => false };
     const world = createFakeWorld({ links });
     world.submit('cut');
@@ -82,8 +82,8 @@
     expect(listEngines(world.last())).to.deep.equal(['a2', 'b2']);
   });
 
-  it('bears silence on a slow link, but not for ever', () => {
-    // Guards against prompts that are read again across a slow link, and make it slower.
+  it('tolerates silence on a slow link for a limited time', () => {
+    // Guards against repeated prefills across a slow link, which make it slower.
     const links = { notePaces: () => undefined, isSlow: () => true };
     const world = createFakeWorld({ links });
     world.submit('r');
@@ -96,13 +96,13 @@
     expect(call.isCancelled).to.equal(true);
   });
 
-  it('tells the paces of begun streams, but none after a pause of its own', () => {
-    // Guards against a sleep of our own that is counted as silence of the streams, and slows all links.
+  it('reports the paces of started streams, but skips a report after a pause of its own process', () => {
+    // Guards against counting a pause of the router's process as silence of the streams, so that all links appear slow.
     const told: number[][] = [];
     const clock = createVirtualTimers();
-    let slept = 0;
+    let pausedFor = 0;
     const world = createFakeWorld({
-      timers: { ...clock, now: () => clock.now() + slept },
+      timers: { ...clock, now: () => clock.now() + pausedFor },
       links: {
         notePaces: (paces) => told.push(paces.map(({ gap }) => gap)),
         isSlow: () => false,
@@ -118,15 +118,15 @@
     expect(told.flat().length).to.be.above(1);
     expect(Math.max(...told.flat())).to.be.within(20, 40);
     const before = told.length;
-    slept = 1000;
+    pausedFor = 1000;
     clock.advanceTo(clock.now() + 100);
     expect(told.length).to.equal(before);
     clock.advanceTo(clock.now() + 100);
     expect(told.length).to.equal(before + 1);
   });
 
-  it('bears a replacement that dies too, and a third that refuses', () => {
-    // Guards against an answer that is recovered once only, or asks an engine again before the wait that it named.
+  it('recovers again after a replacement dies and the next chain refuses', () => {
+    // Guards against recovering an answer only once, or retrying an engine before its `retryAfter` has passed.
     const world = createFakeWorld();
     const heard = world.submit('r');
     acknowledge(world.last());
@@ -161,8 +161,8 @@
     expect(heard.ends).to.deep.equal(['stop']);
   });
 
-  it('recovers those who have waited longest first, and only so many at once', () => {
-    // Guards against twenty prompts that are read again at once, and stop the answers on the engines that are left.
+  it('limits concurrent recoveries, and starts with the answers that stalled longest', () => {
+    // Guards against twenty concurrent prefills that stall the answers on the remaining engines.
     const world = createFakeWorld();
     for (let i = 0; i < 20; i++) {
       world.submit(`r${i}`);
@@ -184,8 +184,8 @@
     expect(world.last().call.request).to.equal('r0');
   });
 
-  it('never passes off a cut or miscounted answer as complete', () => {
-    // Guards against an answer that is passed off as whole though its count, or an index, doesn't fit.
+  it('never reports a truncated or miscounted answer as complete', () => {
+    // Guards against completing an answer although its token count or a token index does not match.
     const world = createFakeWorld();
     const heard = world.submit('r');
     acknowledge(world.last());
@@ -202,8 +202,8 @@
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(4), ['stop']]);
   });
 
-  it('gives no token of an engine that acknowledges another chain', () => {
-    // Guards against an acknowledgement of another chain that nobody compares with what was asked for.
+  it('forwards no token of an engine that acknowledges another chain', () => {
+    // Guards against accepting an acknowledgement without comparing its chain with the requested one.
     const world = createFakeWorld();
     const heard = world.submit('r');
     const wrong = world.last();
@@ -221,8 +221,8 @@
     expect(wrong.isCancelled).to.equal(true);
   });
 
-  it('moves a stream that has become slow', () => {
-    // Guards against a throttled engine whose gaps are all below the limit of silence.
+  it('moves a stream that becomes slow', () => {
+    // Guards against a throttled engine that stays undetected because its gaps are all below the silence timeout.
     const world = createFakeWorld();
     world.submit('slow', { maxTokens: 400 });
     const slow = world.last();
--- a/packages/requests/src/__tests__/unit/RequestRouter.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRouter.test.ts
@@ -51,7 +51,7 @@
 }
 
 describe('RequestRouter', () => {
-  it('sends nothing of a keyed request before its claim is granted, and records its end', async () => {
+  it('opens no call for a keyed request before its claim is granted, and stores its answer', async () => {
     const world = createFakeWorld();
     const heard = world.submit('r', KEYED);
     expect(world.calls).to.have.length(0);
@@ -68,7 +68,7 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('tells no more than is proven for each outcome of a claim', async () => {
+  it('reports only a proven run state for each outcome of a claim', async () => {
     const cases: [ClaimOutcome, string, string][] = [
       [{ kind: 'ended', record: { run: 'ran', answer: null } }, 'answer-gone', 'ran'],
       [{ kind: 'ended', record: { run: 'unknown', answer: null } }, 'outcome-unknown', 'unknown'],
@@ -85,8 +85,8 @@
     }
   });
 
-  it('gives a resend the answer that is held though no time is left to run it', async () => {
-    // Guards against a resend that is refused for want of time though its answer is held.
+  it('answers a resend from the stored answer even if too little time is left to run it', async () => {
+    // Guards against a resend that is refused for lack of time although its answer is stored.
     const world = createFakeWorld();
     world.submit('r0');
     acknowledge(world.last());
@@ -106,8 +106,8 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('gives back a claim that is granted after its request was given up', async () => {
-    // Guards against a claim that is granted after its request was given up, and held by nobody.
+  it('releases a claim that is granted after its request was cancelled', async () => {
+    // Guards against a claim that is granted after its request was cancelled and is never released.
     const world = createFakeWorld();
     const heard = world.submit('r', KEYED);
     heard.handle.cancel();
@@ -117,8 +117,8 @@
     expect(world.calls).to.have.length(0);
   });
 
-  it('finishes keyed work whose caller hung up, for the resend to find', async () => {
-    // Guards against keyed work that ends with its caller's connection, and may not be started again.
+  it('finishes a keyed request whose caller hung up, so that a resend finds the answer', async () => {
+    // Guards against a keyed request that ends with its caller's connection and may not be run again.
     const world = createFakeWorld();
     const heard = world.submit('r', KEYED);
     await answerClaim(world, { kind: 'granted', token: 'c' });
@@ -139,7 +139,7 @@
   });
 
   it('bounds retries to a share of first tries while every engine refuses', () => {
-    // Guards against an outage that is followed by a longer one, of retries.
+    // Guards against a retry storm that prolongs an outage.
     const world = createFakeWorld();
     for (let i = 0; i < 300; i++) {
       world.submit(`r${i}`);
@@ -158,7 +158,7 @@
     expect(world.count('refused')).to.be.at.least(250);
   });
 
-  it('retries nothing beyond its deadline', () => {
+  it('does not retry a request beyond its deadline', () => {
     const world = createFakeWorld();
     const heard = world.submit('r', { deadline: 1000 });
     world.last().listener.onFailure(
@@ -174,8 +174,8 @@
     ]);
   });
 
-  it('leaves no timer behind when it has drained', async () => {
-    // Guards against a process that stays for the rest of its grace after its last answer, though it has stopped.
+  it('leaves no timer pending after a drain', async () => {
+    // Guards against a stopped process that stays up for the rest of the grace period after its last answer.
     const world = createFakeWorld();
     world.submit('r');
     const drained = world.router.drain(5000);
@@ -187,7 +187,7 @@
     expect(world.timers.countPending()).to.equal(0);
   });
 
-  it('cuts nothing off in a planned stop, and tells the truth at the grace limit', async () => {
+  it('aborts no request in a planned stop, and reports the run state at the grace limit', async () => {
     const world = createFakeWorld();
     const finishing = world.submit('f');
     const finishingCall = world.last();
@@ -215,8 +215,8 @@
     expect(isDrained).to.equal(true);
   });
 
-  it('repeats calls to plain services only where that is harmless', () => {
-    // Guards against a call that may not be repeated, sent once more after its connection broke.
+  it('retries calls to plain services only if they are idempotent or were not sent', () => {
+    // Guards against a non-idempotent call that is sent again after its connection broke.
     const world = createFakeWorld();
     const broken = createFailure({ place: FailurePlace.Stream });
     const post = callService(world, 'p');
@@ -239,7 +239,7 @@
     expect(unsent.problems).to.have.length(0);
   });
 
-  it('takes idempotence from the closest route of the manifest, then from the method', () => {
+  it('derives idempotence from the longest matching route of the manifest, then from the method', () => {
     const routes = [
       { method: 'POST', path: '/search*', idempotent: true },
       { method: 'POST', path: '/search/save', idempotent: false },
@@ -256,8 +256,8 @@
     ]);
   });
 
-  it('sends an idempotent call to another server when one stays silent, and no other call', () => {
-    // Guards against an idempotent call that waits for a silent server until its deadline, though others are idle.
+  it('sends an idempotent call to another server when one stays silent, but not other calls', () => {
+    // Guards against an idempotent call that waits for a silent server until its deadline while others are idle.
     const world = createFakeWorld();
     const safe = callService(world, 'safe', {
       idempotent: true,
@@ -275,8 +275,8 @@
     expect(unsafe.answers.length + unsafe.problems.length).to.equal(0);
   });
 
-  it('leaves an idempotent call with its silent server while there is no other', () => {
-    // Guards against a call that is taken from the only server, and waits there again behind all others.
+  it('leaves an idempotent call with its silent server if there is no other server', () => {
+    // Guards against a call that is withdrawn from the only server and queues there again behind later calls.
     const world = createFakeWorld({
       chooseServer: (_service, avoid) =>
         avoid.includes('s1') ? null : { server: 's1', release: () => undefined },
--- a/packages/requests/src/__tests__/unit/RunEnds.test.ts
+++ b/packages/requests/src/__tests__/unit/RunEnds.test.ts
@@ -13,13 +13,13 @@
   listWords,
 } from './RequestFakes.js';
 
-const MOST_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 2;
 const CALLER_PATIENCE: Millis = 1700;
-/** Time in which instances tell each other who was at a crash. */
-const SETTLE_TIME: Millis = 500;
+/** Time in which instances exchange reports of which requests were present at a crash. */
+const CRASH_REPORT_TIME: Millis = 500;
 const STEP: Millis = 1;
 const DEADLINE: Millis = 20_000;
-/** Bounds of silence as a deployment whose callers leave after two seconds sets them. */
+/** Silence bounds for a deployment whose callers leave after two seconds. */
 const SILENCE_BOUNDS = {
   acknowledgement: { least: 350, most: 350 },
   firstToken: { least: 350, most: 350 },
@@ -27,7 +27,7 @@
 };
 const GROUPS = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-/** Six engines to a chain, as many chains as `copies`; repeats take from a budget. */
+/** Six engines per chain, `copies` chains; recoveries take from the retry budget. */
 function createWorld(copies: number, change: Partial<RouterDeps> = {}): FakeWorld {
   const { silence } = DEFAULT_ROUTER_CONFIG;
   const cfg = {
@@ -42,7 +42,7 @@
 
 function submit(world: FakeWorld, id: string): ReceivedAnswer {
   return world.submit(id, {
-    maxAttempts: MOST_ATTEMPTS,
+    maxAttempts: MAX_ATTEMPTS,
     patience: CALLER_PATIENCE,
     breakAfter: CALLER_PATIENCE,
     deadline: world.timers.now() + DEADLINE,
@@ -53,7 +53,7 @@
   world.timers.advanceTo(world.timers.now() + time);
 }
 
-/** Lets time pass until so many calls were opened. */
+/** Advances time until `count` calls were opened. */
 function awaitCalls(world: FakeWorld, count: number): void {
   const end = world.timers.now() + DEADLINE;
   while (world.calls.length < count && world.timers.now() < end) {
@@ -61,8 +61,8 @@
   }
 }
 
-/** Why a request ended, by the line that is written of it. */
-function listLines({ decisions }: FakeWorld, id: string): (string | null)[] {
+/** Logged reasons for which a request failed or was given up. */
+function listEndReasons({ decisions }: FakeWorld, id: string): (string | null)[] {
   return decisions
     .filter(
       ({ request, decision }) => request === id && (decision === 'fail' || decision === 'give-up'),
@@ -70,7 +70,7 @@
     .map(({ reason }) => reason);
 }
 
-/** Lets the newest call give the rest of an answer. */
+/** Completes an answer through the newest call. */
 function finish(world: FakeWorld, heard: ReceivedAnswer, length: number): void {
   const last = world.last();
   acknowledge(last);
@@ -78,7 +78,7 @@
   last.listener.onEnd('stop', length);
 }
 
-/** The first engine of the newest call ends with its streams. */
+/** Ends the first engine of the newest call, which breaks its stream. */
 function endEngine(world: FakeWorld): EngineId {
   const opened = world.last();
   const [engine = ''] = listEngines(opened);
@@ -94,9 +94,9 @@
       );
 }
 
-describe('Two ends of an answer within a second', () => {
-  it('leaves an answer with its second chain when one engine of it pauses beside planned work', () => {
-    // Guards against an answer that is closed at its second silence, within a second of its first, on its last attempt.
+describe('Two engine failures during an answer within a second', () => {
+  it('leaves an answer with its second chain when one engine pauses during planned work', () => {
+    // Guards against an answer that is aborted on its last attempt at a second silence, within a second of the first.
     const world = createWorld(3, { mayBreakOff: () => false });
     const heard = submit(world, 'r');
     const [first] = world.calls;
@@ -105,10 +105,10 @@
     const second = world.last();
     acknowledge(second);
     sendTokens(world, second, 0, 8);
-    // Others through all engines of that chain but one go on, so that one alone is to blame.
+    // Another answer continues through all engines of that chain but one, so that this one alone is to blame.
     submit(world, 'other');
-    const beside = world.last();
-    beside.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'c2' }));
+    const otherFirstCall = world.last();
+    otherFirstCall.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'c2' }));
     const other = world.last();
     acknowledge(other);
     sendTokens(world, other, 0, 40);
@@ -120,18 +120,18 @@
     sendTokens(world, second, 8, 20);
     second.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
-    expect(listLines(world, 'r')).to.deep.equal([]);
+    expect(listEndReasons(world, 'r')).to.deep.equal([]);
   });
 
-  it('leaves an answer with its engines while they are the only chain, for longer than 0.9 s', () => {
-    // Guards against an answer that is taken from the only whole chain, and ends since no other comes.
+  it('leaves a silent answer with the only chain for longer than 0.9 s', () => {
+    // Guards against an answer that is withdrawn from the only complete chain and fails because there is no other.
     const world = createWorld(1);
     const heard = submit(world, 'r');
     const only = world.last();
     acknowledge(only);
     sendTokens(world, only, 0, 3);
-    advance(world, SETTLE_TIME + 900);
-    expect([heard.problems, only.isCancelled, listLines(world, 'r')]).to.deep.equal([
+    advance(world, CRASH_REPORT_TIME + 900);
+    expect([heard.problems, only.isCancelled, listEndReasons(world, 'r')]).to.deep.equal([
       [],
       false,
       [],
@@ -141,22 +141,22 @@
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
   });
 
-  it('goes on after two engines that leave have ended, in each order of news and ends', () => {
-    // Guards against an answer that is refused as one that crashes engines, since two were released under it.
-    const steps = ['news of a', 'news of b', 'end', 'end', 'configuration'] as const;
+  it('continues after two leaving engines have ended, in each order of reports and ends', () => {
+    // Guards against an answer that is condemned as poison because two of its engines left during it.
+    const steps = ['report of a', 'report of b', 'end', 'end', 'configuration'] as const;
     const orders = new Map(permute(steps).map((order) => [order.join(), order]));
     const gaps: readonly Millis[] = [1, 30, 100];
     for (const order of orders.values()) {
       for (const gap of gaps) {
         for (const begun of [0, 8]) {
-          playLeaving(order, gap, begun);
+          runLeavingCase(order, gap, begun);
         }
       }
     }
   });
 
-  function playLeaving(order: readonly string[], gap: Millis, begun: number): void {
-    const name = `${order.join(', ')}; ${gap} ms; ${begun} events`;
+  function runLeavingCase(order: readonly string[], gap: Millis, tokensPerAttempt: number): void {
+    const name = `${order.join(', ')}; ${gap} ms; ${tokensPerAttempt} events`;
     const leaving = new Set<EngineId>();
     let isPlanned = false;
     let ends = 0;
@@ -173,12 +173,12 @@
         awaitCalls(world, ends);
         const opened = world.last();
         acknowledge(opened);
-        sendTokens(world, opened, heard.tokens.length, heard.tokens.length + begun);
-        // News of an engine that leaves come before its end, if the store is heard.
+        sendTokens(world, opened, heard.tokens.length, heard.tokens.length + tokensPerAttempt);
+        // The report that an engine leaves arrives before its end if the store is reachable.
         leaving.add(listEngines(opened)[0] ?? '');
         endEngine(world);
       } else {
-        leaving.add(step === 'news of a' ? 'a1' : 'a2');
+        leaving.add(step === 'report of a' ? 'a1' : 'a2');
       }
       advance(world, gap);
     }
@@ -186,21 +186,21 @@
     expect(heard.problems, name).to.deep.equal([]);
     finish(world, heard, 30);
     expect([heard.tokens, heard.ends], name).to.deep.equal([listWords(30), ['stop']]);
-    expect(listLines(world, 'r'), name).to.deep.equal([]);
+    expect(listEndReasons(world, 'r'), name).to.deep.equal([]);
   }
 
-  it('goes on after one engine was silent and another has ended, in each order', () => {
-    // Guards against a silence that is counted as a crash, and against an end that takes up an attempt.
+  it('continues after one engine was silent and another has ended, in each order', () => {
+    // Guards against a silence that counts as a crash, and against an end that counts as an attempt.
     for (const isSilentFirst of [true, false]) {
       for (const begun of [0, 8]) {
         const world = createWorld(4, { mayBreakOff: () => false });
         const heard = submit(world, 'r');
-        const acts = [() => awaitCalls(world, world.calls.length + 1), () => endEngine(world)];
-        for (const [i, act] of (isSilentFirst ? acts : [...acts].reverse()).entries()) {
+        const actions = [() => awaitCalls(world, world.calls.length + 1), () => endEngine(world)];
+        for (const [i, action] of (isSilentFirst ? actions : [...actions].reverse()).entries()) {
           awaitCalls(world, i + 1);
           acknowledge(world.last());
           sendTokens(world, world.last(), heard.tokens.length, heard.tokens.length + begun);
-          act();
+          action();
         }
         awaitCalls(world, 3);
         const name = `silence ${isSilentFirst ? 'first' : 'last'}, ${begun} events`;
@@ -211,8 +211,8 @@
     }
   });
 
-  it('names a verdict in its line, and ends no answer by one before others could speak of the crash', () => {
-    // Guards against a verdict that closes an answer at once, and against one that no line tells from a silence.
+  it('logs a poison verdict, and fails no answer by one before other instances can report on the crash', () => {
+    // Guards against a verdict that ends an answer at once, and against one whose log line looks like that of a silence.
     for (const gap of [1, 30, 250, 500]) {
       for (const begun of [0, 8]) {
         const world = createWorld(4, { mayBreakOff: () => false });
@@ -224,14 +224,14 @@
           endEngine(world);
         }
         const endedAt = world.timers.now();
-        advance(world, SETTLE_TIME - 2 * STEP);
+        advance(world, CRASH_REPORT_TIME - 2 * STEP);
         const name = `${gap} ms, ${begun} events`;
-        expect([heard.problems, listLines(world, 'r')], name).to.deep.equal([[], []]);
+        expect([heard.problems, listEndReasons(world, 'r')], name).to.deep.equal([[], []]);
         while (heard.problems.length === 0 && world.timers.now() < endedAt + DEADLINE) {
           advance(world, STEP);
         }
         const run = begun > 0 ? 'ran' : 'unknown';
-        expect(listLines(world, 'r'), name).to.deep.equal([`poison ${run}`]);
+        expect(listEndReasons(world, 'r'), name).to.deep.equal([`poison ${run}`]);
       }
     }
   });
--- a/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
@@ -12,18 +12,18 @@
 const TOKENS = 10;
 const GAP: Millis = 30;
 const PATIENCE: Millis = 1700;
-/** Callers are told this late at the most: a look comes with the clock's next step. */
-const LATE: Millis = 50;
-/** Longer than callers wait. */
-const LONGEST_QUEUE: Millis = 4000;
+/** Maximum delay of the error to a caller, caused by the step of the clock. */
+const MAX_ERROR_DELAY: Millis = 50;
+/** Exceeds the patience of callers. */
+const MAX_QUEUE_TIME: Millis = 4000;
 const STEP: Millis = 10;
 const END: Millis = 30_000;
 
-/** What becomes of a call: it begins after a while in a queue, is refused, breaks, or nothing ever comes. */
+/** Draws the outcome of a call: it begins after a time in a queue, is refused, breaks, or stays silent. */
 function serve(world: FakeWorld, random: Random, opened: OpenedCall): void {
   const { call, listener } = opened;
   const [engine = ''] = listEngines(opened);
-  const fate = random.nextFloat();
+  const outcome = random.nextFloat();
   const give = (index: number): void => {
     if (opened.isCancelled) {
       return;
@@ -35,17 +35,17 @@
     listener.onToken(index, `w${index}`);
     world.timers.registerTimeout(GAP, () => give(index + 1));
   };
-  world.timers.registerTimeout(random.nextFloat() ** 2 * LONGEST_QUEUE, () => {
-    if (opened.isCancelled || fate < 0.1) {
+  world.timers.registerTimeout(random.nextFloat() ** 2 * MAX_QUEUE_TIME, () => {
+    if (opened.isCancelled || outcome < 0.1) {
       return;
     }
-    if (fate < 0.3) {
+    if (outcome < 0.3) {
       const retryAfter = random.nextFloat() < 0.3 ? 3000 : null;
       const refusal = { place: FailurePlace.Refused, provenNotRun: true, status: 503, retryAfter };
       listener.onFailure(createFailure({ ...refusal, engine }));
-    } else if (fate < 0.4) {
+    } else if (outcome < 0.4) {
       listener.onFailure(createFailure({ place: FailurePlace.Stream, engine }));
-    } else if (fate < 0.5) {
+    } else if (outcome < 0.5) {
       listener.onFailure(
         createFailure({ place: FailurePlace.Connect, provenNotRun: true, engine }),
       );
@@ -61,7 +61,7 @@
   readonly leavesAt: Millis;
 }
 
-function play(seed: number): { world: FakeWorld; callers: Caller[]; late: string[] } {
+function runSeed(seed: number): { world: FakeWorld; callers: Caller[]; late: string[] } {
   const random = createRandom(seed);
   const cfg = {
     ...DEFAULT_ROUTER_CONFIG,
@@ -80,15 +80,15 @@
       const maxAttempts = 1 + random.nextInt(3);
       const spec = { maxTokens: TOKENS, maxAttempts, patience: PATIENCE, breakAfter: PATIENCE };
       const heard = world.submit(`r${callers.length}`, { ...spec, prompt: `p${at}` });
-      callers.push({ heard, leavesAt: world.timers.now() + PATIENCE + LATE });
+      callers.push({ heard, leavesAt: world.timers.now() + PATIENCE + MAX_ERROR_DELAY });
     }
     for (; served < world.calls.length; served += 1) {
       serve(world, random, world.calls[served] as OpenedCall);
     }
     world.timers.advanceTo(at);
     callers.forEach(({ heard: { tokens, problems, ends }, leavesAt }, i) => {
-      const isTold = tokens.length + problems.length + ends.length > 0;
-      if (at >= leavesAt && !isTold && !late.includes(`r${i}`)) {
+      const hasReceived = tokens.length + problems.length + ends.length > 0;
+      if (at >= leavesAt && !hasReceived && !late.includes(`r${i}`)) {
         late.push(`r${i}`);
       }
     });
@@ -96,11 +96,11 @@
   return { world, callers, late };
 }
 
-describe('Patience, drawn', () => {
-  it('leaves no caller without a word for longer than it waits', () => {
-    // Guards against any way by which a request without an answer outlasts its caller's patience.
+describe('Caller patience with random outcomes', () => {
+  it('sends every caller a token or an error before its patience ends', () => {
+    // Guards against any sequence of events by which a request without an answer outlasts its caller's patience.
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const { callers, late } = play(seed);
+      const { callers, late } = runSeed(seed);
       expect(callers, `seed ${seed}`).to.have.length(REQUESTS);
       expect(late, `seed ${seed}`).to.deep.equal([]);
       for (const { heard } of callers) {
--- a/packages/requests/src/__tests__/unit/RunQueue.test.ts
+++ b/packages/requests/src/__tests__/unit/RunQueue.test.ts
@@ -7,7 +7,7 @@
 
 const PATIENCE: Millis = 1700;
 
-/** A world whose engines may be silent for longer than callers wait. */
+/** Creates a world whose engines may be silent for longer than callers wait. */
 function createQueueWorld(engines: readonly (readonly EngineId[])[]): FakeWorld {
   const bounds = { least: 5000, most: 5000 };
   const silence = { ...DEFAULT_ROUTER_CONFIG.silence, acknowledgement: bounds, firstToken: bounds };
@@ -19,8 +19,8 @@
 }
 
 describe('A queue that is too long', () => {
-  it('is not joined: the caller is told at once that its request has not run, and when to come back', () => {
-    // Guards against callers that leave unserved from a queue in which they could never have begun in time.
+  it('is not joined: the caller gets an error at once that says that its request has not run', () => {
+    // Guards against callers that leave unserved from a queue in which they could not have begun in time.
     const world = createQueueWorld([['a1'], ['b1']]);
     submit(world, 'older');
     world.timers.advanceTo(PATIENCE / 2 - 10);
@@ -33,7 +33,7 @@
     expect(world.calls).to.have.length(2);
   });
 
-  it('is passed by for an engine that begins sooner', () => {
+  it('is skipped for an engine that can begin sooner', () => {
     // Guards against a caller that is refused while another engine has room for its request.
     const world = createQueueWorld([['a1', 'a2'], ['b1']]);
     submit(world, 'older');
@@ -42,8 +42,8 @@
     expect([heard.problems, listEngines(world.last())]).to.deep.equal([[], ['a2', 'b1']]);
   });
 
-  it('is joined by one that is more important than those that wait there', () => {
-    // Guards against an urgent request that is refused because lesser ones wait.
+  it('is joined by a request of a higher priority than those that wait there', () => {
+    // Guards against an urgent request that is refused because requests of lower priority wait.
     const world = createQueueWorld([['a1'], ['b1']]);
     submit(world, 'older', { priority: 'low' });
     world.timers.advanceTo(PATIENCE - 10);
@@ -51,8 +51,8 @@
     expect(submit(world, 'low', { priority: 'low' }).problems).to.have.length(1);
   });
 
-  it('is one no more when those that waited there have begun', () => {
-    // Guards against an engine that is kept off for a queue which is over.
+  it('is joined again once the requests that waited there have begun', () => {
+    // Guards against an engine that is avoided because of a queue that has ended.
     const world = createQueueWorld([['a1'], ['b1']]);
     submit(world, 'older');
     world.timers.advanceTo(PATIENCE - 10);
--- a/packages/requests/src/__tests__/unit/RunSilence.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilence.test.ts
@@ -13,14 +13,14 @@
   listWords,
 } from './RequestFakes.js';
 
-const MOST_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 2;
 const BREAK_AFTER: Millis = 1700;
-/** Longer than any silence that an attempt is allowed, and shorter than a deadline. */
+/** Exceeds any silence limit of an attempt, and is shorter than a deadline. */
 const LONG_SILENCE: Millis = 15_000;
 
 const STEP: Millis = 10;
 
-/** A world whose streams do not tell which engine is to blame, and in which repeats take from a budget. */
+/** Creates a world where no engine can be singled out as silent, and recoveries take from the retry budget. */
 function createSilentWorld(
   deps: Partial<RouterDeps> = {},
   engines?: readonly (readonly EngineId[])[],
@@ -37,7 +37,7 @@
   return decisions.filter(({ decision }) => decision === 'give-up').map(({ reason }) => reason);
 }
 
-/** Lets time pass until something holds, for a deadline at the most. */
+/** Advances time until `holds` returns true, for at most twice the long silence. */
 function advanceUntil(world: FakeWorld, holds: () => boolean): void {
   const end = world.timers.now() + 2 * LONG_SILENCE;
   while (!holds() && world.timers.now() < end) {
@@ -45,19 +45,19 @@
   }
 }
 
-/** An answer whose first attempt gave nothing, and whose second and last one gave some events. */
+/** Starts an answer whose first attempt gave nothing and whose second and last attempt gave `events` tokens. */
 function beginOnLastAttempt(world: FakeWorld, events: number): [ReceivedAnswer, OpenedCall] {
-  const heard = world.submit('r', { maxAttempts: MOST_ATTEMPTS, breakAfter: BREAK_AFTER });
+  const heard = world.submit('r', { maxAttempts: MAX_ATTEMPTS, breakAfter: BREAK_AFTER });
   const first = world.last();
   advanceUntil(world, () => world.last() !== first);
   const second = world.last();
-  expect([first.isCancelled, second.call.attempt]).to.deep.equal([true, MOST_ATTEMPTS]);
+  expect([first.isCancelled, second.call.attempt]).to.deep.equal([true, MAX_ATTEMPTS]);
   acknowledge(second);
   sendTokens(world, second, 0, events);
   return [heard, second];
 }
 
-/** An answer that has begun at its first engines. */
+/** Starts an answer that has begun on its first engines. */
 function begin(
   world: FakeWorld,
   events: number,
@@ -70,9 +70,9 @@
   return [heard, only];
 }
 
-describe('Silence of an attempt that nothing may follow', () => {
+describe('Silence of an attempt that cannot be replaced', () => {
   it('leaves a begun answer with its engines when its attempts are used up', () => {
-    // Guards against an answer that is cut beside planned work because its last engine paused.
+    // Guards against an answer that is aborted during planned work because an engine of its last attempt paused.
     const world = createSilentWorld({ mayBreakOff: () => false });
     const [heard, last] = beginOnLastAttempt(world, 7);
     world.timers.advanceTo(world.timers.now() + LONG_SILENCE);
@@ -80,11 +80,11 @@
     sendTokens(world, last, 7, 20);
     last.listener.onEnd('stop', 20);
     expect([heard.tokens, heard.ends]).to.deep.equal([listWords(20), ['stop']]);
-    expect([world.calls.length, listGiveUps(world)]).to.deep.equal([MOST_ATTEMPTS, []]);
+    expect([world.calls.length, listGiveUps(world)]).to.deep.equal([MAX_ATTEMPTS, []]);
   });
 
-  it('breaks it off in other times when its caller is better served elsewhere, and not before', () => {
-    // Guards against a caller that leaves by itself, and never tries elsewhere, since its answer stood still.
+  it('aborts a begun answer outside planned work after `breakAfter`, and not before', () => {
+    // Guards against a caller that leaves without a retry elsewhere because its answer stalled.
     const world = createSilentWorld();
     const [heard] = beginOnLastAttempt(world, 7);
     world.timers.advanceTo(world.timers.now() + BREAK_AFTER - 50);
@@ -96,8 +96,8 @@
     expect(listGiveUps(world)).to.deep.equal(['standstill']);
   });
 
-  it('leaves a begun answer with its engines when the retry budget is used up', () => {
-    // Guards against an answer that is taken from its engines and then waits, since no repeat is left for it.
+  it('leaves a begun answer with its engines when the retry budget is exhausted', () => {
+    // Guards against an answer that is withdrawn from its engines and then waits because no retry is left.
     const world = createSilentWorld({ getRetryBurst: () => 0 });
     const [heard, only] = begin(world, 7);
     world.timers.advanceTo(world.timers.now() + BREAK_AFTER - 100);
@@ -108,15 +108,15 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('goes on elsewhere as soon as another instance lends a repeat', () => {
-    // Guards against an answer that stands still at dead engines though the fleet has repeats left.
+  it('continues on other engines as soon as another instance lends a retry', () => {
+    // Guards against an answer that stalls at dead engines although the fleet has retries left.
     let burst = 0;
-    let asked = 0;
+    let askCount = 0;
     const world = createSilentWorld({
       getRetryBurst: () => burst,
       requestRetries: (_model, done) => {
-        asked += 1;
-        burst = asked > 1 ? 1 : 0;
+        askCount += 1;
+        burst = askCount > 1 ? 1 : 0;
         done(burst > 0);
       },
     });
@@ -124,12 +124,12 @@
     const silentFrom = world.timers.now();
     advanceUntil(world, () => world.last() !== first);
     expect(world.last().openedAt - silentFrom).to.be.within(500, 800);
-    expect([asked, first.isCancelled]).to.deep.equal([2, true]);
+    expect([askCount, first.isCancelled]).to.deep.equal([2, true]);
     expect([heard.problems, world.last().call.resumeTokens]).to.deep.equal([[], listWords(7)]);
   });
 
-  it('leaves a begun answer with its engines while no other chain is whole, and moves it as soon as one is', () => {
-    // Guards against an answer that is taken from the only engines that could have finished it.
+  it('leaves a begun answer with its engines until another chain is complete, then moves it', () => {
+    // Guards against an answer that is withdrawn from the only engines that could finish it.
     const engines = [['a1'], ['b1']];
     const world = createSilentWorld({}, engines);
     const [heard, only] = begin(world, 7);
@@ -145,10 +145,13 @@
     expect(world.last().call.resumeTokens).to.deep.equal(listWords(10));
   });
 
-  it('tells of engines that are silent under an answer that is left with them', () => {
-    // Guards against new requests at a dead engine, and against one that nobody asks about its health.
+  it('reports engines that are silent during an answer that stays with them', () => {
+    // Guards against new requests at a dead engine, and against a dead engine that gets no health check.
     const told: (readonly EngineId[])[] = [];
-    const world = createSilentWorld({ getRetryBurst: () => 0, onSilent: (ids) => told.push(ids) });
+    const world = createSilentWorld({
+      getRetryBurst: () => 0,
+      onSilent: (ids) => told.push(ids),
+    });
     const [, only] = begin(world, 7);
     const engines = listEngines(only);
     world.timers.advanceTo(world.timers.now() + 1000);
@@ -156,8 +159,8 @@
     expect(only.isCancelled).to.equal(false);
   });
 
-  it('sends nothing new to the one engine that is silent under it', () => {
-    // Guards against requests that wait at a dead engine since the answers there were left with it.
+  it('sends no new request to the one engine that is silent', () => {
+    // Guards against requests that wait at a dead engine because the answers there stayed with it.
     const world = createSilentWorld({ getRetryBurst: () => 1 });
     const [, silent] = begin(world, 7, Infinity);
     world.submit('other', { prompt: 'other' });
@@ -171,8 +174,8 @@
     expect(listEngines(world.last())).to.deep.equal(['a1', 'b2']);
   });
 
-  it('leaves a request that waits in the queue of its engines there while nothing can follow', () => {
-    // Guards against a request that is taken back and waits once more, behind all that came meanwhile.
+  it('leaves a queued request at its engines while no other attempt is possible', () => {
+    // Guards against a request that is withdrawn and queues again behind later ones.
     const worlds = [
       createSilentWorld({}, [['a1'], ['b1']]),
       createSilentWorld({ getRetryBurst: () => 0 }),
@@ -189,12 +192,12 @@
     }
   });
 
-  it('tells a caller that has nothing yet before it leaves, so that it can go elsewhere', () => {
+  it('fails a request without tokens before its caller leaves, so that the caller can go elsewhere', () => {
     // Guards against a caller that waits out its deadline at engines that may be dead.
     const world = createSilentWorld();
-    const heard = world.submit('r', { maxAttempts: MOST_ATTEMPTS, patience: BREAK_AFTER });
+    const heard = world.submit('r', { maxAttempts: MAX_ATTEMPTS, patience: BREAK_AFTER });
     world.timers.advanceTo(BREAK_AFTER - 50);
-    expect([heard.problems, world.calls.length]).to.deep.equal([[], MOST_ATTEMPTS]);
+    expect([heard.problems, world.calls.length]).to.deep.equal([[], MAX_ATTEMPTS]);
     world.timers.advanceTo(BREAK_AFTER + 10);
     expect(heard.problems.map(({ kind, run }) => [kind, run])).to.deep.equal([
       ['engine-failed', 'unknown'],
@@ -203,9 +206,9 @@
   });
 });
 
-describe('Patience of a caller that has nothing yet', () => {
-  it('is kept where engines may be silent for longer, on a first attempt and on a second', () => {
-    // Guards against a caller that leaves unserved from a queue in which its request was expected to wait on.
+describe('Patience of a caller without tokens', () => {
+  it('is respected where the silence limit is longer, on a first and on a second attempt', () => {
+    // Guards against a caller that leaves unserved because its request may stay silent in a queue for longer.
     const silence = {
       ...DEFAULT_ROUTER_CONFIG.silence,
       acknowledgement: { least: 3000, most: 3000 },
@@ -228,8 +231,8 @@
     }
   });
 
-  it('is kept where silences are borne on a slow link', () => {
-    // Guards against a caller that leaves unserved while the silence of its engines is borne once more.
+  it('is respected where silences are tolerated on a slow link', () => {
+    // Guards against a caller that leaves unserved while the silence of its engines is tolerated again.
     const links = { notePaces: () => undefined, isSlow: () => true };
     const world = createSilentWorld({ links });
     const heard = world.submit('r', { patience: BREAK_AFTER, breakAfter: BREAK_AFTER });
--- a/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
@@ -10,18 +10,18 @@
 const REQUESTS = 12;
 const TOKENS = 40;
 const GAP: Millis = 30;
-/** Engines pause for up to so long, and go on: no pause is a failure. */
-const LONGEST_PAUSE: Millis = 4000;
+/** Maximum pause of an engine; every engine continues after its pause. */
+const MAX_PAUSE: Millis = 4000;
 const PAUSE_SHARE = 0.05;
 const QUEUE_SHARE = 0.3;
 const STEP: Millis = 10;
 const END: Millis = 50_000;
 
-/** Lets a call give its tokens with pauses in between, unless it is taken from its engines. */
+/** Gives the tokens of a call with pauses in between, until it is cancelled. */
 function serve(world: FakeWorld, random: Random, opened: OpenedCall): void {
   const { call, listener } = opened;
   const drawPause = (share: number): Millis =>
-    random.nextFloat() < share ? random.nextFloat() * LONGEST_PAUSE : GAP;
+    random.nextFloat() < share ? random.nextFloat() * MAX_PAUSE : GAP;
   const give = (index: number): void => {
     if (opened.isCancelled) {
       return;
@@ -41,8 +41,8 @@
   });
 }
 
-/** Plays requests at engines that pause and never fail, while planned work goes on. */
-function play(seed: number): { world: FakeWorld; heard: ReceivedAnswer[] } {
+/** Runs requests at engines that pause and never fail, during planned work. */
+function runSeed(seed: number): { world: FakeWorld; heard: ReceivedAnswer[] } {
   const random = createRandom(seed);
   const cfg = {
     ...DEFAULT_ROUTER_CONFIG,
@@ -69,11 +69,11 @@
   return { world, heard };
 }
 
-describe('Silence, drawn', () => {
-  it('ends no answer of engines that pause and go on while planned work does', () => {
-    // Guards against any way by which a guess that an engine has failed ends an answer that it would have finished.
+describe('Silence with random pauses', () => {
+  it('fails no answer of engines that pause and continue during planned work', () => {
+    // Guards against any sequence of events by which a false suspicion of an engine ends an answer that it would finish.
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const { world, heard } = play(seed);
+      const { world, heard } = runSeed(seed);
       expect(heard, `seed ${seed}`).to.have.length(REQUESTS);
       for (const { tokens, ends, problems } of heard) {
         expect([problems, ends], `seed ${seed}`).to.deep.equal([[], ['stop']]);
