--- a/packages/relay/src/RelayCoalesce.ts
+++ b/packages/relay/src/RelayCoalesce.ts
@@ -1,17 +1,17 @@
-/** Gathers calls that come together into one. */
+/** Coalesces calls that come close together. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 
 /**
- * Runs `work` once, as soon as what runs now has ended, however often it is asked for until then. One answer of
- * the store may tell of dozens of servers, each of which asks for all engines' facts anew.
+ * Runs `work` once after the current task, however often the returned function is called until then. One answer of the
+ * store may contain dozens of servers, each of which requests a recomputation of all engines' facts.
  */
 export function coalesce(timers: TimerService, work: () => void): () => void {
-  let isDue = false;
+  let isScheduled = false;
   return () => {
-    if (!isDue) {
-      isDue = true;
+    if (!isScheduled) {
+      isScheduled = true;
       timers.registerTimeout(0, () => {
-        isDue = false;
+        isScheduled = false;
         work();
       });
     }
--- a/packages/relay/src/RelayConfirm.ts
+++ b/packages/relay/src/RelayConfirm.ts
@@ -1,7 +1,6 @@
 /**
- * Finds out what the store holds now, before a caller is told that what it asked for is not there. News can be older
- * than the time in which a change is to be in force, by as much as a watch without news lasts, and no caller repeats a
- * request after such an answer.
+ * Checks the store before a caller gets a not-found answer. The local copy can be older than the time in which a change
+ * must be in force, by up to the length of a watch without changes, and callers don't retry after such an answer.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -10,35 +9,35 @@
 export interface RelayConfirmOptions {
   readonly timers: TimerService;
   readonly store: Pick<StoreRangePort, 'watchRange'>;
-  /** Revision up to which everything is known. */
+  /** Revision up to which the local copy is complete. */
   readonly getCompleteRevision: () => number;
-  /** Takes in what has changed since. */
+  /** Applies the changes since then. */
   readonly onEvents: (events: readonly StoreEvent[]) => void;
-  /** All that the store held so long ago is known. */
+  /** The local copy was in sync with the store `age` ago. */
   readonly onSynced: (age: Millis) => void;
 }
 
-/** Asks the store; `done` hears whether all that it held just now is known here. */
+/** Queries the store; `done` receives whether the local copy is current. */
 export type ConfirmCurrent = (done: (isCurrent: boolean) => void) => void;
 
-/** A caller waits so long: it is told to come back a little later otherwise. */
-const ANSWER_TIME: Millis = 400;
-/** A store that gave no answer is not asked again at once, by each caller. */
-const FAILURE_PAUSE: Millis = 500;
+/** Timeout of the query; on expiry the caller is told to retry later. */
+const ANSWER_TIMEOUT: Millis = 400;
+/** Backoff after a failure, so that not every caller queries a failing store again. */
+const FAILURE_BACKOFF: Millis = 500;
 
-/** Creates the question; all who ask while one is on its way get its answer. */
+/** Creates the check; calls during a pending query share its result. */
 export function createRelayConfirm(options: RelayConfirmOptions): ConfirmCurrent {
   const { timers, store } = options;
   let waiting: ((isCurrent: boolean) => void)[] = [];
-  let pausedUntil = -Infinity;
+  let backoffUntil = -Infinity;
 
-  async function ask(): Promise<boolean> {
+  async function readChanges(): Promise<boolean> {
     const askedAt = timers.now();
     const outcome = await store.watchRange('', options.getCompleteRevision(), 0, {
-      timeout: ANSWER_TIME,
+      timeout: ANSWER_TIMEOUT,
     });
     if (outcome.kind !== 'done' || outcome.value.kind !== 'events') {
-      pausedUntil = timers.now() + FAILURE_PAUSE;
+      backoffUntil = timers.now() + FAILURE_BACKOFF;
       return false;
     }
     options.onEvents(outcome.value.events);
@@ -46,20 +45,20 @@
     return true;
   }
 
-  function answer(isCurrent: boolean): void {
-    const heard = waiting;
+  function notifyWaiters(isCurrent: boolean): void {
+    const notified = waiting;
     waiting = [];
-    heard.forEach((tell) => tell(isCurrent));
+    notified.forEach((callback) => callback(isCurrent));
   }
 
   return (done) => {
-    if (timers.now() < pausedUntil) {
+    if (timers.now() < backoffUntil) {
       done(false);
       return;
     }
     waiting.push(done);
     if (waiting.length === 1) {
-      void ask().then(answer, () => answer(false));
+      void readChanges().then(notifyWaiters, () => notifyWaiters(false));
     }
   };
 }
--- a/packages/relay/src/RelayFanout.ts
+++ b/packages/relay/src/RelayFanout.ts
@@ -1,48 +1,47 @@
 /**
- * From whom an instance hears the store's news. It follows from the list of instances alone, so that nobody is
- * elected: a few watch the store, two of each failure domain ask those, and all others ask the two of their own
- * domain. Lists that differ for a moment let more instances watch; levels keep two from asking each other.
+ * Fan-out of store updates. Roles follow from the list of instances alone, without an election: a few instances watch
+ * the store, two of each failure domain poll those, and all others poll the two of their own domain. While lists
+ * differ, more instances may watch; levels prevent two instances from polling each other.
  */
 import { selectOwners } from '@skylarksail/core/CoreHash';
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 import type { InstanceEntry } from './RelayTypes.js';
 
-/** How far an instance is from the store. One answers only those that are farther from it than itself. */
+/** Distance of an instance from the store. An instance answers only those at a higher level. */
 export const FanoutLevel = {
   /** Watches the store. */
   Watcher: 0,
-  /** Hears the watchers and tells its own domain. */
+  /** Polls the watchers and serves its own domain. */
   Aggregator: 1,
-  /** Hears its domain's aggregators. */
+  /** Polls its domain's aggregators. */
   Subscriber: 2,
 } as const;
 
 export type FanoutLevelValue = (typeof FanoutLevel)[keyof typeof FanoutLevel];
 
-/** An instance's part in spreading news. */
+/** Fan-out role of an instance. */
 export interface FanoutRole {
   readonly level: FanoutLevelValue;
-  /** Whom it asks; none at a watcher. */
+  /** Instances that it polls; none at a watcher. */
   readonly sources: readonly InstanceEntry[];
-  /** Whether any instance of the fleet hears by others. */
+  /** Whether any instance of the fleet gets its updates from peers. */
   readonly isShared: boolean;
 }
 
-/** In a fleet of so few all watch the store: sources would save few calls, and delay each change a little. */
-const LARGEST_WITHOUT_SOURCES = 10;
-/** One may be dead and one cut off, and the third still tells of the change in time. */
-const WATCHERS = 3;
-/** With two, the loss of one costs the others a single question that is not answered. */
-const AGGREGATORS = 2;
-const KEY = 'store-news';
+/** In a fleet of this size or less, all watch the store: sources would save few calls and delay each change. */
+const MAX_UNSHARED_FLEET = 10;
+/** With one dead and one cut off, the third still delivers a change in time. */
+const WATCHER_COUNT = 3;
+/** With two, the loss of one costs each subscriber a single unanswered query. */
+const AGGREGATORS_PER_DOMAIN = 2;
+const HASH_KEY = 'store-news';
 
-/** Works out an instance's part. */
 export function selectFanoutRole(
   self: InstanceEntry,
   instances: readonly InstanceEntry[],
 ): FanoutRole {
   const reachable = instances.filter(({ address }) => address !== null);
-  if (reachable.length <= LARGEST_WITHOUT_SOURCES || self.address === null) {
+  if (reachable.length <= MAX_UNSHARED_FLEET || self.address === null) {
     return { level: FanoutLevel.Watcher, sources: [], isShared: false };
   }
   const aggregators = selectAggregators(reachable);
@@ -56,7 +55,7 @@
     : { level: FanoutLevel.Subscriber, sources: own, isShared: true };
 }
 
-/** Each domain's aggregators, the first choice first. */
+/** Aggregators of each domain in order of rank. */
 function selectAggregators(
   instances: readonly InstanceEntry[],
 ): ReadonlyMap<DomainId, readonly InstanceEntry[]> {
@@ -65,54 +64,54 @@
     [...domains].map((domain) => {
       const members = instances.filter((instance) => instance.domain === domain);
       const byId = new Map(members.map((member) => [member.id, member]));
-      const ids = selectOwners(KEY, [...byId.keys()], AGGREGATORS);
+      const ids = selectOwners(HASH_KEY, [...byId.keys()], AGGREGATORS_PER_DOMAIN);
       return [domain, ids.flatMap((id) => byId.get(id) ?? [])];
     }),
   );
 }
 
-/** Heads of different domains as far as there are, since a domain is lost as a whole. */
+/** Selects aggregators of different domains where possible, since a domain fails as a whole. */
 function selectWatchers(
   aggregators: ReadonlyMap<DomainId, readonly InstanceEntry[]>,
 ): readonly InstanceEntry[] {
-  const domains = selectOwners(KEY, [...aggregators.keys()], aggregators.size);
-  const ranked = Array.from({ length: AGGREGATORS }, (_, rank) =>
+  const domains = selectOwners(HASH_KEY, [...aggregators.keys()], aggregators.size);
+  const ranked = Array.from({ length: AGGREGATORS_PER_DOMAIN }, (_, rank) =>
     domains.flatMap((domain) => aggregators.get(domain)?.[rank] ?? []),
   );
-  return ranked.flat().slice(0, WATCHERS);
+  return ranked.flat().slice(0, WATCHER_COUNT);
 }
 
-/** One instance's part, worked out anew when the list of instances has changed. */
+/** Role of one instance, recomputed when the list of instances changes. */
 export interface FanoutRoleCache {
   get(): FanoutRole;
-  /** How long changes that come close together are gathered. */
+  /** Time in which successive changes are batched. */
   getGatherTime(): Millis;
 }
 
-/** Changes seldom come alone: forty engines that register within two seconds are few calls instead of forty. */
-const GATHER_TIME: Millis = 120;
-/** The same where nobody waits for this instance's word: less work for the many, and a change is in force soon. */
-const SUBSCRIBER_GATHER_TIME: Millis = 300;
+/** Changes come in bursts: forty engines that register within two seconds cause a few calls instead of forty. */
+const BATCH_TIME: Millis = 120;
+/** Longer at subscribers, on which no other instance depends: fewer calls by most of the fleet, at a small delay. */
+const SUBSCRIBER_BATCH_TIME: Millis = 300;
 
 export function createFanoutRoleCache(
   self: InstanceEntry,
   listInstances: () => readonly InstanceEntry[],
 ): FanoutRoleCache {
   let instances: readonly InstanceEntry[] | null = null;
-  let part: FanoutRole = { level: FanoutLevel.Watcher, sources: [], isShared: false };
+  let role: FanoutRole = { level: FanoutLevel.Watcher, sources: [], isShared: false };
 
   function get(): FanoutRole {
     const latest = listInstances();
     if (latest !== instances) {
       instances = latest;
-      part = selectFanoutRole(self, latest);
+      role = selectFanoutRole(self, latest);
     }
-    return part;
+    return role;
   }
 
   return {
     get,
     getGatherTime: () =>
-      get().level === FanoutLevel.Subscriber ? SUBSCRIBER_GATHER_TIME : GATHER_TIME,
+      get().level === FanoutLevel.Subscriber ? SUBSCRIBER_BATCH_TIME : BATCH_TIME,
   };
 }
--- a/packages/relay/src/RelayMirror.ts
+++ b/packages/relay/src/RelayMirror.ts
@@ -1,13 +1,13 @@
 /**
- * What this instance knows of the store, key by key, from whichever source told it last: the store itself
- * or, while that turns this instance away, a peer. Revisions decide, so that news heard from a peer are
- * not taken back when the store answers again and tells its history in order.
+ * Local copy of the store, key by key, filled by the store itself or, while the store refuses this instance, by a peer.
+ * The higher revision of a key wins, so that changes from a peer are not reverted when the store answers again and
+ * replays its history.
  */
 import type { StoreEvent, StoreItem } from '@skylarksail/store/StoreRange';
 
-/** What has changed since a revision, or all that there is. */
+/** Changes since a revision, or a full snapshot. */
 export interface MirrorChanges {
-  /** The items are all that there are as of the revision; no removals are told. */
+  /** Whether this is a snapshot: the items are all that exist as of the revision, and no removals are listed. */
   readonly isWhole: boolean;
   readonly items: readonly StoreItem[];
   readonly removed: readonly { readonly key: string; readonly revision: number }[];
@@ -15,92 +15,101 @@
 }
 
 export interface Mirror {
-  /** Takes an event in; says whether it was news. */
+  /** Applies an event; returns whether it was newer than the known revision of its key. */
   apply(event: StoreEvent): boolean;
   /**
-   * Changes since a revision, up to the last that is known in full. If not all of them can be told, a whole for who takes
-   * one, else what is known, as of the revision given.
+   * Returns the changes since a revision, up to the latest complete one. If some are missing, returns a snapshot where
+   * the receiver accepts one, else the changes that are present, as of the given revision.
    */
   readSince(revision: number, takesWhole: boolean): MirrorChanges;
   /**
-   * The events by which what is known becomes what was told; each is then to be taken in. After a whole, nobody who knows
-   * less than its revision can be told all: what came and went since the whole before was never heard of.
+   * Returns the events that bring the copy to the received state; the caller applies each of them. After a snapshot,
+   * changes since an earlier revision are incomplete: keys written and removed since the snapshot before it were never
+   * seen.
    */
   toEvents(changes: MirrorChanges): readonly StoreEvent[];
-  /** All that happened up to a revision has been taken in; says whether that is more than before. */
+  /** All changes up to a revision are applied; returns whether that revision is higher than before. */
   noteComplete(revision: number): boolean;
-  /** The revision up to which everything is known. */
+  /** The revision up to which the copy is complete. */
   getCompleteRevision(): number;
-  /** Whether all that happened after a revision can be told, removals included. */
+  /** Whether all changes after a revision are present, removals included. */
   hasChangesSince(revision: number): boolean;
-  /** Whether all that there is can be told. */
+  /** Whether a full snapshot is present. */
   hasFullState(): boolean;
 }
 
-/** Removed keys that are remembered. Servers come and go by the dozen; older ones are long forgotten. */
-const MOST_REMOVED = 1000;
+/** Most tombstones kept. Servers register and leave by the dozen; older removals no longer matter. */
+const MAX_TOMBSTONES = 1000;
 
 export function createMirror(): Mirror {
   const items = new Map<string, StoreItem>();
   const removed = new Map<string, number>();
-  let complete = 0;
-  /** What was removed before the latest whole may never have been heard of; infinite before the first. */
-  let wholeSince = Infinity;
-  /** Removals up to this revision may have been forgotten. */
-  let forgottenTo = 0;
+  let completeRevision = 0;
+  /** Revision of the latest snapshot; earlier removals may be missing. Infinite before the first. */
+  let snapshotRevision = Infinity;
+  /** Tombstones up to this revision may have been pruned. */
+  let prunedRevision = 0;
 
   function canTellSince(since: number): boolean {
-    return since >= wholeSince && since >= forgottenTo;
+    return since >= snapshotRevision && since >= prunedRevision;
   }
 
   function canTellWhole(): boolean {
-    return wholeSince < Infinity && complete > 0;
+    return snapshotRevision < Infinity && completeRevision > 0;
   }
 
-  function getKnown(key: string): number {
+  function getKnownRevision(key: string): number {
     return items.get(key)?.revision ?? removed.get(key) ?? 0;
   }
 
-  function remove(key: string, at: number): void {
+  function remove(key: string, removedRevision: number): void {
     items.delete(key);
     removed.delete(key);
-    removed.set(key, at);
-    if (removed.size > MOST_REMOVED) {
+    removed.set(key, removedRevision);
+    if (removed.size > MAX_TOMBSTONES) {
       const [oldest] = removed;
       if (oldest) {
         removed.delete(oldest[0]);
-        forgottenTo = Math.max(forgottenTo, oldest[1]);
+        prunedRevision = Math.max(prunedRevision, oldest[1]);
       }
     }
   }
 
-  function diffWhole(found: readonly StoreItem[], at: number): readonly StoreEvent[] {
-    const keys = new Set(found.map(({ key }) => key));
-    const written = found.map((item): StoreEvent => ({ kind: 'written', item }));
+  function diffSnapshot(
+    foundItems: readonly StoreItem[],
+    foundRevision: number,
+  ): readonly StoreEvent[] {
+    const keys = new Set(foundItems.map(({ key }) => key));
+    const written = foundItems.map((item): StoreEvent => ({ kind: 'written', item }));
     const gone = [...items.values()]
-      .filter((item) => !keys.has(item.key) && item.revision <= at)
-      .map(({ key }): StoreEvent => ({ kind: 'removed', key, revision: at }));
+      .filter((item) => !keys.has(item.key) && item.revision <= foundRevision)
+      .map(({ key }): StoreEvent => ({ kind: 'removed', key, revision: foundRevision }));
     return [...written, ...gone];
   }
 
   return {
     apply(event) {
       const key = event.kind === 'written' ? event.item.key : event.key;
-      const at = event.kind === 'written' ? event.item.revision : event.revision;
-      if (at <= getKnown(key)) {
+      const eventRevision = event.kind === 'written' ? event.item.revision : event.revision;
+      if (eventRevision <= getKnownRevision(key)) {
         return false;
       }
       if (event.kind === 'written') {
         items.set(key, event.item);
         removed.delete(key);
       } else {
-        remove(key, at);
+        remove(key, eventRevision);
       }
       return true;
     },
     readSince(since, takesWhole) {
       if (takesWhole && !canTellSince(since) && canTellWhole()) {
-        return { isWhole: true, items: [...items.values()], removed: [], revision: complete };
+        return {
+          isWhole: true,
+          items: [...items.values()],
+          removed: [],
+          revision: completeRevision,
+        };
       }
       return {
         isWhole: false,
@@ -108,25 +117,28 @@
         removed: [...removed]
           .filter(([, at]) => at > since)
           .map(([key, at]) => ({ key, revision: at })),
-        revision: canTellSince(since) ? Math.max(since, complete) : since,
+        revision: canTellSince(since) ? Math.max(since, completeRevision) : since,
       };
     },
-    toEvents({ isWhole, items: told, removed: gone, revision: at }) {
+    toEvents({ isWhole, items: told, removed: gone, revision: receivedRevision }) {
       if (isWhole) {
-        wholeSince = Math.max(at, wholeSince < Infinity ? wholeSince : 0);
-        return diffWhole(told, at);
+        snapshotRevision = Math.max(
+          receivedRevision,
+          snapshotRevision < Infinity ? snapshotRevision : 0,
+        );
+        return diffSnapshot(told, receivedRevision);
       }
       const written = told.map((item): StoreEvent => ({ kind: 'written', item }));
       return [...written, ...gone.map((removal) => ({ kind: 'removed' as const, ...removal }))];
     },
-    noteComplete(next) {
-      if (next <= complete) {
+    noteComplete(appliedRevision) {
+      if (appliedRevision <= completeRevision) {
         return false;
       }
-      complete = next;
+      completeRevision = appliedRevision;
       return true;
     },
-    getCompleteRevision: () => complete,
+    getCompleteRevision: () => completeRevision,
     hasChangesSince: canTellSince,
     hasFullState: canTellWhole,
   };
--- a/packages/relay/src/RelayPeerCodec.ts
+++ b/packages/relay/src/RelayPeerCodec.ts
@@ -1,7 +1,7 @@
 /**
- * Answers of peers as bytes. A configuration of some hundred kilobytes is told by two aggregators to all others of their
- * domain: sent as it is, it takes a narrow link for longer than a change may take to be in force. So large values are
- * compressed, once, whoever asks and however many instances pass them on.
+ * Encodes answers to peers. Two aggregators send a configuration of some hundred kilobytes to all others of their
+ * domain. Uncompressed, it would occupy a narrow link for longer than a change may take to be in force. So large
+ * values are compressed once, for all receivers and for all instances that pass them on.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { pack } from 'msgpackr';
@@ -12,73 +12,73 @@
 import type { PeerAnswer, PeerUpdates } from './RelayPeers.js';
 
 /**
- * How an answer is written: as every version reads it, or, for those that say they can read it, with large values
- * compressed and all that there is where changes cannot be told.
+ * Form of an answer: plain, which every version reads, or, for peers that accept it, with large values compressed and
+ * with a snapshot where changes are missing.
  */
 export const AnswerForm = { Plain: 'plain', Deflated: 'deflated' } as const;
 
 export type AnswerFormName = (typeof AnswerForm)[keyof typeof AnswerForm];
 
 export interface PeerCodec {
-  /** Null for a peer that is silent. */
+  /** Null for an answer of kind `silent`. */
   packPeerAnswer(answer: PeerAnswer, form: AnswerFormName): Buffer | null;
   packUpdates(news: UpdateContent, form: AnswerFormName): Buffer;
-  /** Throws if the bytes make no sense. */
+  /** Throws if the bytes are not a valid message. */
   readPeerUpdates(body: Buffer): PeerUpdates;
-  /** Throws if the bytes make no sense. */
+  /** Throws if the bytes are not a valid message. */
   readUpdates(body: Buffer): UpdateContent;
 }
 
-/** Characters. Shorter values hardly delay an answer; compressing them would only take time. */
-const LEAST_COMPRESSED = 4096;
-/** Repeated field names are most of a configuration: the fastest level finds them as well as the best. */
-const LEVEL = 1;
-/** Bytes; far more than the store takes as one value. A peer that sends more is not to use up the memory. */
-const MOST_VALUE_BYTES = 16_777_216;
+/** Length in characters. Shorter values hardly delay an answer, and compressing them would only take time. */
+const MIN_COMPRESSED_LENGTH = 4096;
+/** A configuration consists mostly of repeated field names, which the fastest level compresses as well as the best. */
+const COMPRESSION_LEVEL = 1;
+/** Far more than the store accepts as one value. The limit keeps a faulty peer from exhausting memory. */
+const MAX_VALUE_BYTES = 16_777_216;
 
-/** Creates a codec that remembers the compressed form of values for as long as the items are kept. */
+/** Creates a codec that caches the compressed form of values for as long as the items exist. */
 export function createPeerCodec(): PeerCodec {
-  const compressed = new WeakMap<StoreItem, Uint8Array>();
+  const compressedValues = new WeakMap<StoreItem, Uint8Array>();
 
   function compress(item: StoreItem): Uint8Array {
-    const known = compressed.get(item);
-    const deflated = known ?? deflateRawSync(item.value, { level: LEVEL });
-    compressed.set(item, deflated);
+    const known = compressedValues.get(item);
+    const deflated = known ?? deflateRawSync(item.value, { level: COMPRESSION_LEVEL });
+    compressedValues.set(item, deflated);
     return deflated;
   }
 
-  function toSent(item: StoreItem, form: AnswerFormName): WireItem {
+  function encodeItem(item: StoreItem, form: AnswerFormName): WireItem {
     const { key, value, revision } = item;
-    return form === AnswerForm.Plain || value.length < LEAST_COMPRESSED
+    return form === AnswerForm.Plain || value.length < MIN_COMPRESSED_LENGTH
       ? { key, value, revision }
       : { key, revision, deflated: compress(item) };
   }
 
-  function fromSent(sent: WireItem): StoreItem {
-    if ('value' in sent) {
-      return sent;
+  function decodeItem(wireItem: WireItem): StoreItem {
+    if ('value' in wireItem) {
+      return wireItem;
     }
-    const { key, revision, deflated } = sent;
-    const value = inflateRawSync(deflated, { maxOutputLength: MOST_VALUE_BYTES }).toString('utf8');
+    const { key, revision, deflated } = wireItem;
+    const value = inflateRawSync(deflated, { maxOutputLength: MAX_VALUE_BYTES }).toString('utf8');
     const item = { key, value, revision };
-    // Whoever passes it on need not compress it again. The bytes are copied, so that they do not keep the whole message.
-    compressed.set(item, Buffer.from(deflated));
+    // Cached for passing the value on. The copy lets the rest of the message be garbage-collected.
+    compressedValues.set(item, Buffer.from(deflated));
     return item;
   }
 
-  function toSentChanges({ items, ...rest }: MirrorChanges, form: AnswerFormName): WireChanges {
-    return { ...rest, items: items.map((item) => toSent(item, form)) };
+  function encodeChanges({ items, ...rest }: MirrorChanges, form: AnswerFormName): WireChanges {
+    return { ...rest, items: items.map((item) => encodeItem(item, form)) };
   }
 
-  function fromSentChanges({ items, ...rest }: WireChanges): MirrorChanges {
-    return { ...rest, items: items.map(fromSent) };
+  function decodeChanges({ items, ...rest }: WireChanges): MirrorChanges {
+    return { ...rest, items: items.map(decodeItem) };
   }
 
   return {
     packPeerAnswer(answer, form) {
       switch (answer.kind) {
         case 'news':
-          return pack({ ...toSentChanges(answer.changes, form), age: answer.age });
+          return pack({ ...encodeChanges(answer.changes, form), age: answer.age });
         case 'deaf':
           return pack(answer.observed);
         default:
@@ -86,14 +86,14 @@
       }
     },
     packUpdates: ({ changes, age, held, others }, form) =>
-      pack({ changes: toSentChanges(changes, form), age, held, others }),
+      pack({ changes: encodeChanges(changes, form), age, held, others }),
     readPeerUpdates(body) {
       const { age, ...changes } = readPeerMessage(body);
-      return { age, changes: fromSentChanges(changes) };
+      return { age, changes: decodeChanges(changes) };
     },
     readUpdates(body) {
       const { changes, ...rest } = readUpdateMessage(body);
-      return { ...rest, changes: fromSentChanges(changes) };
+      return { ...rest, changes: decodeChanges(changes) };
     },
   };
 }
--- a/packages/relay/src/RelayPeerHttp.ts
+++ b/packages/relay/src/RelayPeerHttp.ts
@@ -1,4 +1,4 @@
-/** The peers' port over HTTP: what instances tell each other. */
+/** HTTP client and server for messages between instances. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -14,21 +14,21 @@
 import { readUpdateQuery, readObservedMessage } from './RelayPeerMessages.js';
 import type { AskPeer, PeerAnswer } from './RelayPeers.js';
 
-const Path = { Changes: '/changes', News: '/news', Grants: '/grants' } as const;
+const Path = { Changes: '/changes', Updates: '/news', Grants: '/grants' } as const;
 const CONTENT_TYPE = { 'content-type': 'application/msgpack' };
 const Status = { Ok: 200, NotFound: 404, Unavailable: 503 } as const;
-/** One for a question that the peer holds, one for a question that is to be answered at once. */
-const CONNECTIONS = 2;
-/** Far more than the work of an instance on all engines of a domain takes. */
-const MOST_BODY_BYTES = 262_144;
+/** One for a long poll, one for queries that are answered at once, to avoid head-of-line blocking. */
+const CONNECTIONS_PER_PEER = 2;
+/** Far more than an instance's work on all engines of a domain needs. */
+const MAX_BODY_BYTES = 262_144;
 /**
- * Limits of an answer that has begun. Its whole is half of the two seconds in which a change is to be in force, so that
- * there is time to ask another where a peer's link is too slow.
+ * Time limits of an answer that has begun. `whole` is half of the two seconds in which a change must be in force, so
+ * that time remains to ask another peer if this one's link is too slow.
  */
 export const PEER_ANSWER_LIMITS = { gap: 300, whole: 1000 } as const;
-/** A header of each question; an instance of an earlier version passes over it. */
+/** Header of each query; instances of an earlier version ignore it. */
 const FORM_HEADER = 'answer-form';
-/** What the status of an answer says before its body is read. */
+/** HTTP status of each kind of answer. */
 const ANSWER_STATUS = {
   news: Status.Ok,
   deaf: Status.Unavailable,
@@ -36,11 +36,11 @@
 } as const;
 const SILENT = { kind: 'silent' } as const;
 
-/** What peers are told. */
+/** Handlers of the peers' queries. */
 export interface PeerHandlers {
   readonly changes: (since: number, takesWhole: boolean) => PeerAnswer;
   readonly updates: (ask: UpdateQuery) => Promise<UpdateAnswer>;
-  /** Repeats that are granted at a service. */
+  /** Number of retries granted for a service. */
   readonly grant: (service: string, wanted: number) => number;
 }
 
@@ -48,23 +48,22 @@
   readonly ask: AskPeer;
   readonly askForUpdates: AskForUpdates;
   readonly askGrant: AskGrant;
-  /** Serves peers. Resolves to the port, drawn if it was 0. */
+  /** Serves peers. Resolves to the port, which the system chooses if it was 0. */
   listen(address: HostPort, answers: PeerHandlers): Promise<number>;
   close(): Promise<void>;
 }
 
-/** An answer as it came. */
 interface RawAnswer {
   readonly status: number;
   readonly body: Buffer;
 }
 
 export function createPeerHttp(timers: TimerService): PeerHttp {
-  const agent = new Agent({ connections: CONNECTIONS, pipelining: 1 });
+  const agent = new Agent({ connections: CONNECTIONS_PER_PEER, pipelining: 1 });
   const codec = createPeerCodec();
   let stop = (): void => undefined;
 
-  /** Null whatever went wrong on the way: this peer has told nothing, and the next one is asked. */
+  /** Sends a query; null on any failure, and the caller asks the next peer. */
   async function send(
     { host, port }: HostPort,
     path: string,
@@ -95,14 +94,14 @@
       return readAnswer(raw, (got) => readPeerAnswer(got, codec));
     },
     async askForUpdates({ address }, ask, timeout) {
-      const raw = address && (await send(address, Path.News, timeout, pack(ask)));
-      return readAnswer(raw, (got) => readNewsAnswer(got, codec));
+      const raw = address && (await send(address, Path.Updates, timeout, pack(ask)));
+      return readAnswer(raw, (got) => readUpdateAnswer(got, codec));
     },
     async askGrant({ address }, service, wanted, timeout) {
       const query = new URLSearchParams({ service, wanted: String(wanted) });
       const raw = address && (await send(address, `${Path.Grants}?${query}`, timeout));
       const granted = raw?.status === Status.Ok ? Number(raw.body.toString('utf8')) : 0;
-      // More than was asked for is no answer to this question.
+      // A grant of more than was requested is invalid.
       return Number.isSafeInteger(granted) && granted > 0 && granted <= wanted ? granted : 0;
     },
     listen: ({ host, port }, answers) =>
@@ -124,14 +123,14 @@
   };
 }
 
-/** Empty if the peer broke off, or sent more than any question holds. */
+/** Empty if the peer aborted, or sent more than any valid query. */
 async function readBody(req: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   try {
     for await (const chunk of req as AsyncIterable<Buffer>) {
       bytes += chunk.byteLength;
-      if (bytes > MOST_BODY_BYTES) {
+      if (bytes > MAX_BODY_BYTES) {
         return Buffer.alloc(0);
       }
       chunks.push(chunk);
@@ -150,14 +149,14 @@
 ): Promise<void> {
   const [path, query] = url.split('?');
   const asked = new URLSearchParams(query);
-  const isNew = headers[FORM_HEADER] === AnswerForm.Deflated;
-  const form = isNew ? AnswerForm.Deflated : AnswerForm.Plain;
+  const acceptsDeflated = headers[FORM_HEADER] === AnswerForm.Deflated;
+  const form = acceptsDeflated ? AnswerForm.Deflated : AnswerForm.Plain;
   switch (path) {
     case Path.Changes:
-      writeChanges(res, answerChanges(asked, answers, isNew), codec, form);
+      writeChanges(res, answerChanges(asked, answers, acceptsDeflated), codec, form);
       break;
-    case Path.News:
-      writeNews(res, await answerNews(body, answers), codec, form);
+    case Path.Updates:
+      writeUpdates(res, await answerUpdateQuery(body, answers), codec, form);
       break;
     case Path.Grants:
       res.end(String(answerGrant(asked, answers)));
@@ -169,40 +168,40 @@
 
 function answerChanges(
   asked: URLSearchParams,
-  answers: PeerHandlers,
+  handlers: PeerHandlers,
   takesWhole: boolean,
 ): PeerAnswer {
   const since = Number(asked.get('since') ?? NaN);
-  return Number.isFinite(since) ? answers.changes(since, takesWhole) : SILENT;
+  return Number.isFinite(since) ? handlers.changes(since, takesWhole) : SILENT;
 }
 
-async function answerNews(body: Buffer, answers: PeerHandlers): Promise<UpdateAnswer> {
-  const ask = readUpdateQuery(body);
-  return ask === null ? SILENT : answers.updates(ask);
+async function answerUpdateQuery(body: Buffer, handlers: PeerHandlers): Promise<UpdateAnswer> {
+  const query = readUpdateQuery(body);
+  return query === null ? SILENT : handlers.updates(query);
 }
 
-function answerGrant(asked: URLSearchParams, answers: PeerHandlers): number {
+function answerGrant(asked: URLSearchParams, handlers: PeerHandlers): number {
   const wanted = Number(asked.get('wanted') ?? NaN);
   const service = asked.get('service') ?? '';
-  return Number.isSafeInteger(wanted) && wanted > 0 ? answers.grant(service, wanted) : 0;
+  return Number.isSafeInteger(wanted) && wanted > 0 ? handlers.grant(service, wanted) : 0;
 }
 
 function writeChanges(
   res: ServerResponse,
-  said: PeerAnswer,
+  answer: PeerAnswer,
   codec: PeerCodec,
   form: AnswerFormName,
 ): void {
-  writeAnswer(res, said, codec.packPeerAnswer(said, form));
+  writeAnswer(res, answer, codec.packPeerAnswer(answer, form));
 }
 
-function writeNews(
+function writeUpdates(
   res: ServerResponse,
-  said: UpdateAnswer,
+  answer: UpdateAnswer,
   codec: PeerCodec,
   form: AnswerFormName,
 ): void {
-  writeAnswer(res, said, said.kind === 'news' ? codec.packUpdates(said, form) : null);
+  writeAnswer(res, answer, answer.kind === 'news' ? codec.packUpdates(answer, form) : null);
 }
 
 function writeAnswer(
@@ -214,7 +213,7 @@
   res.end(body);
 }
 
-/** A peer whose answer cannot be read has told nothing, as one that does not answer. */
+/** An unreadable answer counts as no answer. */
 function readAnswer<T>(raw: RawAnswer | null, read: (raw: RawAnswer) => T): T | typeof SILENT {
   try {
     return raw === null ? SILENT : read(raw);
@@ -234,7 +233,7 @@
   }
 }
 
-function readNewsAnswer({ status, body }: RawAnswer, codec: PeerCodec): UpdateAnswer {
+function readUpdateAnswer({ status, body }: RawAnswer, codec: PeerCodec): UpdateAnswer {
   switch (status) {
     case Status.Ok:
       return { kind: 'news', ...codec.readUpdates(body) };
--- a/packages/relay/src/RelayPeerMessages.ts
+++ b/packages/relay/src/RelayPeerMessages.ts
@@ -1,4 +1,4 @@
-/** What peers send each other, as it is checked when it arrives: a peer may be of another version, or broken. */
+/** Validation of messages between peers: the sender may have another version, or be faulty. */
 import { unpack } from 'msgpackr';
 import * as z from 'zod/mini';
 import { LifeState } from '@skylarksail/core/CoreConstants';
@@ -15,41 +15,41 @@
 
 const engineWork = z.object({ engine: z.string(), calls: count, kvTokens: count });
 
-const toldWork = z.object({ running: z.array(engineWork), lost: z.array(z.string()) });
+const reportedWork = z.object({ running: z.array(engineWork), lost: z.array(z.string()) });
 
-const newsAsk = z.object({
+const updateQuery = z.object({
   since: count,
   hold: count,
   level: z.enum(FanoutLevel),
   takesWhole: z.optional(z.boolean()),
   from: z.string(),
-  work: toldWork,
+  work: reportedWork,
 });
 
-const sentItem = z.union([
+const wireItem = z.union([
   z.object({ key: z.string(), value: z.string(), revision: count }),
   z.object({ key: z.string(), deflated: z.instanceof(Uint8Array), revision: count }),
 ]);
 
 const changesShape = {
   isWhole: z.optional(z.boolean()),
-  items: z.array(sentItem),
+  items: z.array(wireItem),
   removed: z.array(z.object({ key: z.string(), revision: count })),
   revision: count,
 };
 
-/** Instances of an earlier version did not say how old what they tell is. */
-const peerNews = z.object({ ...changesShape, age: z.optional(z.nullable(count)) });
+/** Instances of an earlier version send no age. */
+const peerUpdates = z.object({ ...changesShape, age: z.optional(z.nullable(count)) });
 
-/** Changes of the store, with the work of the others. */
-const newsMessage = z.object({
+/** Changes of the store, with the work that other instances reported. */
+const updateMessage = z.object({
   changes: z.object(changesShape),
   age: z.optional(count),
   held: z.optional(count),
-  others: toldWork,
+  others: reportedWork,
 });
 
-const seenEntries = z.array(
+const observedEntries = z.array(
   z.object({
     id: z.string(),
     server: z.string(),
@@ -63,58 +63,58 @@
   }),
 );
 
-/** An item as it is sent: its value as text, or compressed. */
+/** Item on the wire, with its value as text or compressed. */
 export type WireItem =
   StoreItem | { readonly key: string; readonly revision: number; readonly deflated: Uint8Array };
 
-/** Changes as they are sent. */
+/** Changes on the wire. */
 export interface WireChanges extends Omit<MirrorChanges, 'items'> {
   readonly items: readonly WireItem[];
 }
 
-/** What a peer beside the sources tells, as it is sent. */
+/** Answer of a peer other than the sources, on the wire. */
 export interface WirePeerUpdates extends WireChanges {
   readonly age: PeerUpdates['age'];
 }
 
-/** What a source tells, as it is sent. */
+/** Answer of an update source, on the wire. */
 export interface WireUpdates extends Omit<UpdateContent, 'changes'> {
   readonly changes: WireChanges;
 }
 
-/** What a source tells, as it is used. */
+/** Decoded answer of an update source. */
 export interface UpdateContent {
   readonly changes: MirrorChanges;
-  /** Time since the source knew all that the store held, in ms. */
+  /** Time since the source was in sync with the store, in ms. */
   readonly age: Millis;
-  /** How long it held the question, in ms. */
+  /** How long it delayed the answer, in ms. */
   readonly held: Millis;
-  /** What others of the source's domain tell. */
+  /** Work that other instances of the source's domain reported. */
   readonly others: ToldWork;
 }
 
-/** Reads engines that a peer has seen; throws if they make no sense. */
+/** Reads engines that a peer observed; throws if the message is invalid. */
 export function readObservedMessage(body: Buffer): readonly BackendEntry[] {
-  return seenEntries.parse(unpack(body));
+  return observedEntries.parse(unpack(body));
 }
 
-/** Reads a question for news; null if it makes no sense. */
+/** Reads a query for updates; null if it is invalid. */
 export function readUpdateQuery(body: Buffer): UpdateQuery | null {
   try {
-    return { takesWhole: false, ...newsAsk.parse(unpack(body)) };
+    return { takesWhole: false, ...updateQuery.parse(unpack(body)) };
   } catch {
-    // Nothing that such a peer says can be relied on; it is answered as if nobody were here.
+    // Such a peer cannot be relied on; it gets the answer of an unknown path.
     return null;
   }
 }
 
-/** Reads what a peer beside the sources told; throws if it makes no sense. */
+/** Reads the answer of a peer other than the sources; throws if it is invalid. */
 export function readPeerMessage(body: Buffer): WirePeerUpdates {
-  return { age: null, isWhole: false, ...peerNews.parse(unpack(body)) };
+  return { age: null, isWhole: false, ...peerUpdates.parse(unpack(body)) };
 }
 
-/** Reads what a source told; throws if it makes no sense. */
+/** Reads the answer of an update source; throws if it is invalid. */
 export function readUpdateMessage(body: Buffer): WireUpdates {
-  const { changes, ...rest } = newsMessage.parse(unpack(body));
+  const { changes, ...rest } = updateMessage.parse(unpack(body));
   return { age: 0, held: 0, ...rest, changes: { isWhole: false, ...changes } };
 }
--- a/packages/relay/src/RelayPeers.ts
+++ b/packages/relay/src/RelayPeers.ts
@@ -1,7 +1,7 @@
 /**
- * Asks peers for what is new in the store while the store does not answer this instance. The store may
- * turn some instances away and serve the others: without this, one that is turned away would serve dropped keys
- * and engines that are gone for as long as that lasts.
+ * Polls peers for changes while the store does not answer this instance. The store may refuse some instances and serve
+ * others: without peers, a refused instance would use revoked keys and engines that have left for as long as that
+ * lasts.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
@@ -12,22 +12,22 @@
 import type { BackendEntry, InstanceEntry } from './RelayTypes.js';
 
 /**
- * What a peer says. `deaf`: it does not hear the store either, and tells what it has seen of its domain's
- * engines itself. `silent`: it is gone, cut off or leaving.
+ * Answer of a peer. `deaf`: it has lost the store too, and lists its own observations of its domain's
+ * engines. `silent`: it is gone, cut off or leaving.
  */
 export type PeerAnswer =
   | ({ readonly kind: 'news' } & PeerUpdates)
   | { readonly kind: 'deaf'; readonly observed: readonly BackendEntry[] }
   | { readonly kind: 'silent' };
 
-/** What a peer that hears the store knows. */
+/** Data of a peer that reaches the store. */
 export interface PeerUpdates {
   readonly changes: MirrorChanges;
-  /** Time since it knew all that the store held; null if it cannot tell all since the revision asked for. */
+  /** Time since it was in sync with the store; null if it lacks changes since the requested revision. */
   readonly age: Millis | null;
 }
 
-/** Asks a peer for what has changed since a revision. */
+/** Queries a peer for the changes since a revision. */
 export type AskPeer = (address: HostPort, since: number, timeout: Millis) => Promise<PeerAnswer>;
 
 export interface RelayPeersOptions {
@@ -38,48 +38,49 @@
   readonly askPeer: AskPeer;
   readonly listInstances: () => readonly InstanceEntry[];
   readonly onEvent: (event: StoreEvent, peer: InstanceId) => void;
-  /** Engines as this instance has seen them itself. */
+  /** Engines as this instance observed them. */
   readonly listObserved: () => readonly BackendEntry[];
-  /** An engine as a peer of its domain has seen it. */
+  /** An engine as a peer of its domain observed it. */
   readonly onObserved: (entry: BackendEntry) => void;
+  /** A peer gave changes up to a higher revision than before. */
   readonly onRevision: (peer: string, revision: number) => void;
   readonly getStaleness: () => Millis;
-  /** A peer told all that it knew so long ago. */
+  /** The local copy was in sync with the store `age` ago. */
   readonly onSynced: (age: Millis) => void;
 }
 
 export interface RelayPeers {
-  /** The store was lost: from now on peers are asked. */
+  /** The store was lost: starts to poll peers. */
   noteStoreLost(): void;
   noteStoreRegained(): void;
-  /** This instance leaves: peers are not to count on it for duties. */
+  /** This instance shuts down: peers must not rely on it for duties. */
   noteLeaving(): void;
-  /** What a peer is told. */
+  /** Answers a peer's query. */
   answer(since: number, takesWhole: boolean): PeerAnswer;
-  /** Whether neither the store nor any peer that hears it could be reached for a while. */
+  /** Whether neither the store nor any peer that reaches it answered for a while. */
   isIsolated(): boolean;
-  /** Peers that were asked since the store was lost, and gave no answer when they were asked last. */
+  /** Whether a peer was asked since the store was lost, and did not answer the last query. */
   isUnresponsive(peer: InstanceId): boolean;
 }
 
-/** A change is to be in force within two seconds; a peer that is cut off too costs one of the tries. */
-const ASK_PERIOD: Millis = 300;
+/** A change must be in force within two seconds; a peer that is cut off too costs one of the attempts. */
+const ROUND_INTERVAL: Millis = 300;
 const ASK_TIMEOUT: Millis = 250;
-const ASK_JITTER = 0.3;
-const ASKED_AT_ONCE = 2;
-/** Six peers are asked in this time; one that hears the store is most likely among them. */
-const BLIND_AFTER: Millis = 1000;
+const ROUND_JITTER = 0.3;
+const ASKS_PER_ROUND = 2;
+/** Six peers are asked in this time; at least one most likely reaches the store. */
+const ISOLATED_AFTER: Millis = 1000;
 
 export function createRelayPeers(options: RelayPeersOptions): RelayPeers {
   const { timers, random, self, mirror } = options;
   const silent = new Set<InstanceId>();
-  let undo: Unregister | null = null;
+  let cancelRound: Unregister | null = null;
   let asked = 0;
-  let losses = 0;
-  let heardAt = 0;
+  let lossCount = 0;
+  let lastUpdateAt = 0;
   let isLeaving = false;
 
-  /** Peers in turn, those of the own domain first in each round, since their links are free. */
+  /** Next peer in rotation; those of the own domain come first in each pass, since their links are free. */
   function choosePeer(): InstanceEntry | null {
     const others = options
       .listInstances()
@@ -89,15 +90,15 @@
     return others[asked % Math.max(1, others.length)] ?? null;
   }
 
-  async function ask(loss: number): Promise<void> {
+  async function ask(lossNumber: number): Promise<void> {
     const peer = choosePeer();
     if (!peer?.address) {
       return;
     }
-    // Not since the latest revision known: before that there may be changes that were never heard of.
+    // From the complete revision, not the latest one seen: changes between them may be missing.
     const askedAt = timers.now();
     const answer = await options.askPeer(peer.address, mirror.getCompleteRevision(), ASK_TIMEOUT);
-    if (undo === null || loss !== losses) {
+    if (cancelRound === null || lossNumber !== lossCount) {
       return;
     }
     if (answer.kind === 'silent') {
@@ -106,15 +107,15 @@
       silent.delete(peer.id);
     }
     if (answer.kind === 'news') {
-      heardAt = timers.now();
-      takeNews(peer, answer, askedAt);
+      lastUpdateAt = timers.now();
+      applyUpdates(peer, answer, askedAt);
     } else if (answer.kind === 'deaf') {
-      // Of its own domain's engines an instance sees more itself.
+      // For engines of its own domain, an instance relies on its own observations.
       answer.observed.filter(({ domain }) => domain !== self.domain).forEach(options.onObserved);
     }
   }
 
-  function takeNews(peer: InstanceEntry, { changes, age }: PeerUpdates, askedAt: Millis): void {
+  function applyUpdates(peer: InstanceEntry, { changes, age }: PeerUpdates, askedAt: Millis): void {
     mirror.toEvents(changes).forEach((event) => options.onEvent(event, peer.id));
     if (mirror.noteComplete(changes.revision)) {
       options.onRevision(peer.id, changes.revision);
@@ -124,13 +125,13 @@
     }
   }
 
-  /** Asks on until the store is back. A round that belongs to an earlier loss must not go on beside that of a later one. */
-  function schedule(loss: number): void {
-    undo = timers.registerTimeout(jitter(random, ASK_PERIOD, ASK_JITTER), () => {
-      const asks = Array.from({ length: ASKED_AT_ONCE }, () => ask(loss));
+  /** Polls until the store is back. Rounds of an earlier loss must not continue alongside those of a later one. */
+  function scheduleRound(lossNumber: number): void {
+    cancelRound = timers.registerTimeout(jitter(random, ROUND_INTERVAL, ROUND_JITTER), () => {
+      const asks = Array.from({ length: ASKS_PER_ROUND }, () => ask(lossNumber));
       void Promise.all(asks).finally(() => {
-        if (undo !== null && loss === losses) {
-          schedule(loss);
+        if (cancelRound !== null && lossNumber === lossCount) {
+          scheduleRound(lossNumber);
         }
       });
     });
@@ -138,22 +139,22 @@
 
   return {
     noteStoreLost() {
-      if (undo === null) {
-        heardAt = timers.now();
+      if (cancelRound === null) {
+        lastUpdateAt = timers.now();
         silent.clear();
-        losses += 1;
-        schedule(losses);
+        lossCount += 1;
+        scheduleRound(lossCount);
       }
     },
     noteStoreRegained() {
-      undo?.();
-      undo = null;
+      cancelRound?.();
+      cancelRound = null;
     },
     noteLeaving() {
       isLeaving = true;
     },
     answer(since, takesWhole) {
-      if (undo === null) {
+      if (cancelRound === null) {
         const changes = mirror.readSince(since, takesWhole);
         const isAll = changes.isWhole || mirror.hasChangesSince(since);
         return { kind: 'news', changes, age: isAll ? options.getStaleness() : null };
@@ -161,7 +162,7 @@
       const seen = options.listObserved().filter(({ domain }) => domain === self.domain);
       return isLeaving ? { kind: 'silent' } : { kind: 'deaf', observed: seen };
     },
-    isIsolated: () => undo !== null && timers.now() - heardAt >= BLIND_AFTER,
+    isIsolated: () => cancelRound !== null && timers.now() - lastUpdateAt >= ISOLATED_AFTER,
     isUnresponsive: (peer) => silent.has(peer),
   };
 }
--- a/packages/relay/src/RelayStaleness.ts
+++ b/packages/relay/src/RelayStaleness.ts
@@ -1,27 +1,27 @@
 /**
- * How old an instance's news is: the time since all that the store held was known. An instance that does not know its
- * news to be old answers 404 for new routes, and tells others that there is nothing new.
+ * Staleness of the local copy: the time since it was last in sync with the store. An instance that does not detect
+ * that its copy is stale answers 404 for new routes, and tells peers that there are no changes.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 
-/** Stands for the store itself among the sources. */
+/** Names the store itself as a source. */
 export const STORE_SOURCE = 'store';
 
-/** From whom an instance heard last, and how long ago it heard all that there was. */
+/** Source of the last update, and staleness of the local copy. */
 export interface UpdateState {
   /** An instance, or the store; null before the first answer. */
   readonly source: InstanceId | typeof STORE_SOURCE | null;
-  /** Time since a source, or the store, last told all that it held; infinite before the first answer. */
+  /** Time since the local copy was in sync with the store; infinite before the first answer. */
   readonly age: Millis;
 }
 
 export interface StalenessTracker {
-  /** An answer has come whose sender knew all so long ago. What it tells may not be taken in yet. */
+  /** An answer arrived whose sender was in sync `age` ago. Its changes may not be applied yet. */
   noteAnswer(source: UpdateState['source'], age: Millis): void;
-  /** What the last answer told has been taken in. */
+  /** The changes of the last answer are applied. */
   noteApplied(): void;
-  /** A peer beside the sources told all that it knew so long ago, and that has been taken in. */
+  /** A peer other than the sources was in sync `age` ago, and its changes are applied. */
   noteSynced(age: Millis): void;
   get(): Millis;
   readState(): UpdateState;
@@ -29,9 +29,9 @@
 
 export function createStalenessTracker(timers: TimerService): StalenessTracker {
   let source: UpdateState['source'] = null;
-  /** As of when the last answer told all. */
+  /** Time at which the sender of the last answer was in sync. */
   let answerAsOf = -Infinity;
-  /** All that the store held at this time is known. */
+  /** Time at which the local copy was in sync with the store. */
   let knownAsOf = -Infinity;
 
   function get(): Millis {
@@ -39,8 +39,8 @@
   }
 
   return {
-    noteAnswer(next, age) {
-      source = next;
+    noteAnswer(answerSource, age) {
+      source = answerSource;
       answerAsOf = timers.now() - age;
     },
     noteApplied() {
--- a/packages/relay/src/RelayStoreReads.ts
+++ b/packages/relay/src/RelayStoreReads.ts
@@ -1,4 +1,4 @@
-/** What an instance asks the store itself: its range, its changes, or all that it holds after a long loss. */
+/** Direct queries of the store: its range, its changes, or a full snapshot after a long loss. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreOutcome } from '@skylarksail/store/StorePort';
@@ -17,24 +17,24 @@
   readonly store: Pick<StoreRangePort, 'readRange' | 'watchRange'>;
   readonly mirror: Mirror;
   readonly age: StalenessTracker;
-  /** Whether any instance of the fleet hears by others. */
+  /** Whether any instance of the fleet gets its updates from peers. */
   readonly isShared: () => boolean;
-  /** Since when neither the store nor a source has answered; null if one does. */
+  /** Time since which neither the store nor a source has answered; null if one does. */
   readonly getLostAt: () => Millis | null;
 }
 
 /**
- * Longest watch of the store in a fleet with sources. A watcher whose connection went silent is to know it before those
- * that hear by it are late, and one that watches beside its sources is to ask them again soon.
+ * Longest watch of the store in a fleet with sources. A watcher must detect a dead connection before the instances that
+ * depend on it become stale, and an instance that bypasses its sources must return to them soon.
  */
-const SHARED_WATCH: Millis = 1000;
+const MAX_SHARED_WATCH: Millis = 1000;
 /**
- * After a longer loss the store is read anew. A watch brings each key as often as it was written: in a series of large
- * values that is many times what the store holds, and may never arrive on a narrow link.
+ * After a longer loss, a snapshot is read instead of resuming the watch. A watch returns each key once per write:
+ * after a series of large writes that is many times the size of the store, and may never arrive on a narrow link.
  */
-const LONGEST_LOSS: Millis = 1000;
+const MAX_RESUMED_LOSS: Millis = 1000;
 
-/** Creates the way to the store, which notes how old its answers are. */
+/** Creates reads of the store that record the age of its answers. */
 export function createStoreReads({
   timers,
   store,
@@ -54,15 +54,18 @@
   ): ReturnType<StoreRangePort['readRange']> {
     const [, after] = args;
     const outcome = await store.readRange(...args);
-    // A range is known as of its first page: what changed before a later one was read may be missing.
+    // The range is in sync as of its first page: changes made before a later page was read may be missing.
     if (after === null) {
       noteAnswer(outcome);
     }
     return outcome;
   }
 
-  /** The whole, as changes to what is known. */
-  async function readAnew(prefix: string, timeout: Millis): Promise<StoreOutcome<StoreChanges>> {
+  /** Reads all keys, and returns the difference to the local copy as changes. */
+  async function readSnapshot(
+    prefix: string,
+    timeout: Millis,
+  ): Promise<StoreOutcome<StoreChanges>> {
     const items: StoreItem[] = [];
     let revision: number | null = null;
     let after: string | null = null;
@@ -82,23 +85,23 @@
   async function watchChanges(
     ...[prefix, since, wait, { timeout }]: Parameters<StoreRangePort['watchRange']>
   ): Promise<StoreOutcome<StoreChanges>> {
-    const hold = isShared() ? Math.min(wait, SHARED_WATCH) : wait;
-    const answerTime = timeout - wait;
-    const outcome = await store.watchRange(prefix, since, hold, { timeout: hold + answerTime });
+    const hold = isShared() ? Math.min(wait, MAX_SHARED_WATCH) : wait;
+    const answerTimeout = timeout - wait;
+    const outcome = await store.watchRange(prefix, since, hold, { timeout: hold + answerTimeout });
     noteAnswer(outcome);
     return outcome;
   }
 
-  function isLongLost(): boolean {
+  function needsSnapshot(): boolean {
     const lostAt = getLostAt();
-    return lostAt !== null && timers.now() - lostAt > LONGEST_LOSS;
+    return lostAt !== null && timers.now() - lostAt > MAX_RESUMED_LOSS;
   }
 
   return {
     readRange,
     watchRange(...args) {
       const [prefix, , wait, { timeout }] = args;
-      return isLongLost() ? readAnew(prefix, timeout - wait) : watchChanges(...args);
+      return needsSnapshot() ? readSnapshot(prefix, timeout - wait) : watchChanges(...args);
     },
   };
 }
--- a/packages/relay/src/RelaySuspension.ts
+++ b/packages/relay/src/RelaySuspension.ts
@@ -1,24 +1,24 @@
 /**
- * Finds out that the whole process was suspended. Its steady clock does not count that time, so what was known before
- * looks as fresh as ever; the time of day does. A time of day that is set forward looks the same, and costs a question.
+ * Detects that the whole process was suspended. The monotonic clock does not count that time, so stale data looks
+ * fresh; the wall clock does. A wall clock that is set forward looks the same, and costs one query.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
 export interface RelaySuspension {
-  /** When the latest suspension was found to be over, on the steady clock; nothing learned before is known to hold. */
+  /** Monotonic time at which the latest suspension was detected; data from before it may be stale. */
   getResumedAt(): Millis;
 }
 
-/** Clocks drift apart by less between two looks, and a pause of this length hides no change for long. */
-const LEAST_PAUSE: Millis = 300;
+/** Clock drift between two checks is smaller, and a shorter pause hides no change for long. */
+const MIN_PAUSE: Millis = 300;
 
-/** `wallNow` gives the time of day in ms. */
+/** `wallNow` returns wall-clock time in ms. */
 export function createRelaySuspension(
   timers: TimerService,
   wallNow: () => Millis,
 ): RelaySuspension {
-  let end = -Infinity;
+  let resumedAt = -Infinity;
   let offset = wallNow() - timers.now();
 
   return {
@@ -26,10 +26,10 @@
       const now = timers.now();
       const before = offset;
       offset = wallNow() - now;
-      if (offset - before > LEAST_PAUSE) {
-        end = now;
+      if (offset - before > MIN_PAUSE) {
+        resumedAt = now;
       }
-      return end;
+      return resumedAt;
     },
   };
 }
--- a/packages/relay/src/RelaySync.ts
+++ b/packages/relay/src/RelaySync.ts
@@ -1,6 +1,6 @@
 /**
- * What this instance knows of the store: follows it, or its peers while it does not answer, and tells the
- * parts what is new of backend servers, of its own keys, and of the configuration.
+ * Keeps the local copy in sync with the store, or with peers while the store does not answer, and dispatches changes of
+ * backend servers, of this instance's own keys and of the configuration.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -38,15 +38,15 @@
   readonly askForUpdates: AskForUpdates;
   readonly readOwnWork: () => ToldWork;
   readonly isCrowded: () => boolean;
-  /** Others told what they have running. */
+  /** Other instances reported their running work. */
   readonly onOthersWork: () => void;
   readonly onLost: RelayWorkOptions['onLost'];
   readonly catalogue: Catalogue;
   readonly lease: RelayLease;
   readonly logger: DaemonLogger;
-  /** An entry of a backend server cannot be read, and its server is not used. */
+  /** The entry of a backend server cannot be read; the server is not used. */
   readonly onUnreadable: (key: string, reason: string) => void;
-  /** A newer configuration is in force from now on. */
+  /** A newer configuration comes into force. */
   readonly onTable: (table: RouteTable) => void;
 }
 
@@ -54,34 +54,33 @@
   readonly peers: RelayPeers;
   readonly updates: RelayUpdates;
   readonly work: RelayWork;
-  /** Asks the store whether all that it holds now is known here. */
+  /** Checks with the store whether the local copy is current. */
   readonly confirmCurrent: ConfirmCurrent;
   readonly stop: Unregister;
 }
 
-/** A watch is renewed this often: a connection that went silent must not hide a change for long. */
-const WATCH_TIME: Millis = 2500;
+/** Longest watch before renewal: a dead connection must not hide a change for long. */
+const WATCH_WAIT: Millis = 2500;
 const STORE_TIMEOUT: Millis = 700;
 
-/** How a configuration reached an instance. */
+/** How a configuration reached this instance; written to the log under these names. */
 interface ConfigArrival {
   readonly source: UpdateState['source'];
-  /** Time since this instance last knew all that there was; null at a start. */
+  /** Time since the local copy was in sync with the store; null at startup. */
   readonly newsAge: Millis | null;
   readonly bytes: number;
-  /** Time to read and compile it. */
+  /** Time to parse and compile it. */
   readonly readTime: Millis | null;
 }
 
-/** Starts to follow. */
 export function startRelaySync(options: RelaySyncOptions): RelaySync {
   const { timers, random, catalogue, lease, logger } = options;
   const mirror = createMirror();
   const role = createFanoutRoleCache(options.self, lease.listInstances);
   let version: number | null = null;
 
-  /** Takes in what the store or a peer told, unless something newer is known already. */
-  function takeEvent(event: StoreEvent, heard: UpdateState): void {
+  /** Applies an event of the store or a peer, unless a newer revision of the key is known. */
+  function applyEvent(event: StoreEvent, origin: UpdateState): void {
     if (!mirror.apply(event)) {
       return;
     }
@@ -89,7 +88,7 @@
     if (key.startsWith(OWN_PREFIX)) {
       lease.takeEvent(event);
     } else if (event.kind === 'written') {
-      takeItem(event.item, heard);
+      applyItem(event.item, origin);
     } else {
       const backend = options.readBackendKey(key);
       if (backend !== null) {
@@ -98,8 +97,8 @@
     }
   }
 
-  function takeItem(item: StoreItem, heard: UpdateState): void {
-    const began = timers.now();
+  function applyItem(item: StoreItem, origin: UpdateState): void {
+    const startedAt = timers.now();
     const content = readItem(item);
     if (content?.kind === 'backend') {
       catalogue.put(content.entry);
@@ -107,16 +106,16 @@
       options.onUnreadable(item.key, content.reason);
       catalogue.drop(content.server);
     } else if (content?.kind === 'config') {
-      takeConfig(createRouteTable(content.config), {
-        source: heard.source,
-        newsAge: toWholeMillis(heard.age),
+      applyConfig(createRouteTable(content.config), {
+        source: origin.source,
+        newsAge: roundMillis(origin.age),
         bytes: item.value.length,
-        readTime: toWholeMillis(timers.now() - began),
+        readTime: roundMillis(timers.now() - startedAt),
       });
     }
   }
 
-  /** One value that makes no sense must not end the following of all others. */
+  /** One malformed value must not stop the sync of all others. */
   function readItem(item: StoreItem): StoreContent | null {
     try {
       return options.readContent(item);
@@ -126,8 +125,8 @@
     }
   }
 
-  /** Versions only rise: nothing that comes late takes an instance back. */
-  function takeConfig(next: RouteTable, arrival: ConfigArrival): void {
+  /** Versions only increase: a late arrival does not revert the configuration. */
+  function applyConfig(next: RouteTable, arrival: ConfigArrival): void {
     const { config } = next;
     if (version !== null && config.version <= version) {
       return;
@@ -165,7 +164,7 @@
     mirror,
     askPeer: options.askPeer,
     listInstances: lease.listInstances,
-    onEvent: (event, peer) => takeEvent(event, { ...news.readState(), source: peer }),
+    onEvent: (event, peer) => applyEvent(event, { ...news.readState(), source: peer }),
     listObserved: catalogue.listObserved,
     onObserved: catalogue.observe,
     getStaleness: () => news.readState().age,
@@ -177,7 +176,7 @@
     store: options.store,
     getCompleteRevision: mirror.getCompleteRevision,
     onEvents: (events) =>
-      events.forEach((event) => takeEvent(event, { ...news.readState(), source: STORE_SOURCE })),
+      events.forEach((event) => applyEvent(event, { ...news.readState(), source: STORE_SOURCE })),
     onSynced: news.noteSynced,
   });
   const stop = registerFollow({
@@ -185,16 +184,16 @@
     timers,
     random,
     prefix: '',
-    wait: WATCH_TIME,
+    wait: WATCH_WAIT,
     timeout: STORE_TIMEOUT,
     getGatherTime: role.getGatherTime,
     listener: {
       onSnapshot(items, revision) {
         mirror
           .toEvents({ isWhole: true, items, removed: [], revision })
-          .forEach((event) => takeEvent(event, news.readState()));
+          .forEach((event) => applyEvent(event, news.readState()));
       },
-      onEvent: (event) => takeEvent(event, news.readState()),
+      onEvent: (event) => applyEvent(event, news.readState()),
       onCaughtUp: news.noteCaughtUp,
       onLost: () => {
         news.setReachable(false);
@@ -221,7 +220,7 @@
   };
 }
 
-/** For the log; null for a time that has no end. */
-function toWholeMillis(time: Millis): Millis | null {
+/** For the log; null for an infinite time. */
+function roundMillis(time: Millis): Millis | null {
   return Number.isFinite(time) ? Math.round(time) : null;
 }
--- a/packages/relay/src/RelayUnreadable.ts
+++ b/packages/relay/src/RelayUnreadable.ts
@@ -1,11 +1,11 @@
-/** Tells of entries that cannot be read. Another writer may leave any number: each is counted, few are logged. */
+/** Reports unreadable entries. Another writer may leave any number of them: all are counted, few are logged. */
 import type { DaemonLogger } from '@skylarksail/daemon/DaemonLog';
 import type { DaemonMetrics } from '@skylarksail/daemon/DaemonMetrics';
 
-/** Keys that are named in the log; more would crowd out other lines. */
-const MOST_LOGGED = 100;
+/** Most keys logged; more would displace other log lines. */
+const MAX_LOGGED = 100;
 
-/** The returned function takes in a key whose entry could not be read, with the reason. */
+/** The returned function records a key whose entry could not be read, with the reason. */
 export function createUnreadableLog(
   logger: DaemonLogger,
   metrics: DaemonMetrics,
@@ -14,7 +14,7 @@
 
   return (key, reason) => {
     metrics.count('entries_unreadable', 'entries of backend servers that could not be read');
-    if (!logged.has(key) && logged.size < MOST_LOGGED) {
+    if (!logged.has(key) && logged.size < MAX_LOGGED) {
       logged.add(key);
       logger.warn({ key, reason }, 'entry not understood');
     }
--- a/packages/relay/src/RelayUpdates.ts
+++ b/packages/relay/src/RelayUpdates.ts
@@ -1,7 +1,7 @@
 /**
- * News of the store by way of peers. Each change costs the store a call of every instance that watches it, and
- * each watch is renewed every few seconds. So a few instances watch the store and the others ask them, or each other, in turn (RelaySources);
- * whoever gets no good answer asks the store itself, within the same call.
+ * Fans store updates out through peers. Each change costs the store one call per watching instance, and each watch is
+ * renewed every few seconds. So a few instances watch the store and the others long-poll their update sources in
+ * rotation. If no source gives updates, the instance queries the store within the same call.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -16,35 +16,39 @@
 import type { InstanceEntry } from './RelayTypes.js';
 import type { RelayWork, ToldWork } from './RelayWork.js';
 
-/** What an instance asks a source, which may hold the answer until there is news. */
+/** Long poll to an update source, which may delay its answer until there are updates. */
 export interface UpdateQuery {
-  /** Everything up to this revision is known. */
+  /** The instance has all changes up to this revision. */
   readonly since: number;
   readonly hold: Millis;
-  /** How far the asking instance is from the store. */
+  /** Fan-out level of the instance that asks. */
   readonly level: FanoutLevelValue;
-  /** Whether it understands an answer with all that there is. */
+  /** Whether it accepts a full snapshot instead of changes. */
   readonly takesWhole: boolean;
   readonly from: InstanceId;
   readonly work: ToldWork;
 }
 
-/** What a source says. `deaf`: it does not hear the store, or not since that revision; `silent`: nothing came. */
+/**
+ * Answer of an update source. `deaf`: it cannot serve updates, since it lost the store, is stale or leaving, is no
+ * closer to the store, or lacks changes since that revision; `silent`: no valid answer arrived. Metric names contain
+ * the kinds.
+ */
 export type UpdateAnswer =
   | {
       readonly kind: 'news';
       readonly changes: MirrorChanges;
-      /** Time since the source knew all that the store held. */
+      /** Time since the source's copy was in sync with the store. */
       readonly age: Millis;
-      /** How long it held the question. */
+      /** How long it delayed the answer. */
       readonly held: Millis;
-      /** What others of the source's domain tell. */
+      /** Work that other instances of the source's domain reported. */
       readonly others: ToldWork;
     }
   | { readonly kind: 'deaf' }
   | { readonly kind: 'silent' };
 
-/** Asks a peer for news. */
+/** Queries a peer for updates. */
 export type AskForUpdates = (
   peer: InstanceEntry,
   ask: UpdateQuery,
@@ -57,72 +61,74 @@
   readonly store: StoreRangePort;
   readonly mirror: Mirror;
   readonly askForUpdates: AskForUpdates;
-  /** From whom this instance hears; it watches the store itself if there is nobody. */
+  /** Fan-out role of this instance; without sources it watches the store. */
   readonly getRole: () => FanoutRole;
   readonly work: Pick<RelayWork, 'take' | 'sumFor' | 'hear'>;
   readonly readOwnWork: () => ToldWork;
-  /** Whether engines of the own domain are so full that others' work decides where there is room. */
+  /** Whether engines of the own domain are so full that free capacity depends on the work of other instances. */
   readonly isCrowded: () => boolean;
-  /** No source had news to give, and the store is watched directly for a while. */
+  /** No source gave updates: this instance watches the store directly for a while. */
   readonly onDirectWatch: (sources: readonly InstanceId[]) => void;
 }
 
 export interface RelayUpdates {
-  /** The store's port, with watches answered by sources where they can. */
+  /** The store's port, with watches served by update sources where possible. */
   readonly port: StoreRangePort;
-  /** What a peer that asks is told, once there is news or the hold is over. */
+  /** Answers a peer's query as soon as there are updates or its hold time ends. */
   answer(ask: UpdateQuery): Promise<UpdateAnswer>;
-  /** The mirror holds all that was told up to a revision. */
+  /** The mirror has all changes up to a revision. */
   noteCaughtUp(revision: number): void;
-  /** A peer beside the sources told all that it knew so long ago. */
+  /** A peer other than the sources was in sync with the store `age` ago, and its changes are applied. */
   noteSynced(age: Millis): void;
-  /** Whether the store, or a source that hears it, answers. */
+  /** Records whether the store, or a source that reaches it, answers. */
   setReachable(isReachable: boolean): void;
+  /** Whether the store or a source answers, and the local copy is fresh enough. */
   isCurrent(): boolean;
   readState(): UpdateState;
-  /** This instance leaves, and is no source any longer. */
+  /** This instance shuts down and stops being a source. */
   noteLeaving(): void;
 }
 
 /**
- * How long a source holds a question. A source that was cut off from the store without knowing it answers that
- * there is nothing new; the other source is asked next, so this is what such a fault adds to the time in which
- * a change is heard, of the two to four seconds that it may take.
+ * Longest hold of a long poll. A source that is cut off from the store and has not detected it answers that there are
+ * no changes. The next source is asked then, so such a fault delays a change by this time, out of a budget of two to
+ * four seconds.
  */
-const HOLD: Millis = 600;
+const MAX_HOLD: Millis = 600;
 /**
- * The same while engines of the own domain are near their limit: instances that hear of each other's work later than this
- * see the same room and fill it together. Asked so often at all times, questions would cost more than requests.
+ * Longest hold while engines of the own domain are near their limit. Instances that exchange their work less often see
+ * the same free capacity and overfill it together. At all times, polls this frequent would cost more than requests.
  */
-const CROWDED_HOLD: Millis = 200;
-/** Time beyond the hold after which a source is taken for gone. */
-const ASK_MARGIN: Millis = 300;
-/** A source that gave no answer is not asked again for so long: its entry lapses meanwhile if it is dead. */
-const SILENT_PAUSE: Millis = 6000;
+const MAX_CROWDED_HOLD: Millis = 200;
+/** Timeout of a query beyond its hold time; the source then counts as unresponsive. */
+const ANSWER_MARGIN: Millis = 300;
+/** Backoff after a source did not answer; the entry of a dead source expires meanwhile. */
+const SILENT_BACKOFF: Millis = 6000;
 /**
- * After no source gave news, the store is watched for so long before they are asked again. Sources that
- * come and go would otherwise cost a call to each of them and one to the store for every piece of news.
+ * Time of direct watching after no source gave updates. With flapping sources, each update would otherwise cost a call
+ * to each of them and one to the store.
  */
-const DIRECT_TIME: Millis = 2000;
+const DIRECT_WATCH_TIME: Millis = 2000;
 /**
- * Age of its own news from which a source answers nothing: a watch of its own or of a watcher, two questions, one of them
- * to a source that is dead, and the answers' way. One whose way to the store went silent would else go on to say that
- * there is nothing new, and each level would find out only seconds after the one before it.
+ * Staleness above which a source refuses to answer. It covers a watch (its own or a watcher's), two queries, one of
+ * them to a dead source, and the latency of the answers. Otherwise a source with a dead connection to the store would
+ * keep answering that there are no changes, and each level would detect this seconds after the one before it.
  */
-const LONGEST_SOURCE_AGE: Millis = 2600;
+const MAX_SOURCE_AGE: Millis = 2600;
 /**
- * Age of the news from which an instance does not count as hearing, though no call has failed yet: the longest watch with
- * the time in which its answer must begin, and some more. One that lends repeats must know that others may lend for it.
+ * Staleness above which an instance does not count as current, even if no call has failed yet: the longest watch, the
+ * time in which its answer must begin, and a margin. A granter of retries must notice when others may grant in its
+ * place.
  */
-const LONGEST_HEARING_AGE: Millis = 3500;
+const MAX_CURRENT_AGE: Millis = 3500;
 
-/** Starts with no news; nothing is asked before the port is. */
+/** Starts without data; sends no query before the port is used. */
 export function createRelayUpdates(options: RelayUpdatesOptions): RelayUpdates {
   const { timers, store, mirror } = options;
-  const pausedUntil = new Map<InstanceId, Millis>();
+  const backoffUntil = new Map<InstanceId, Millis>();
   const waiting = new Set<() => void>();
-  let directUntil = -Infinity;
-  let turn = 0;
+  let directWatchUntil = -Infinity;
+  let rotation = 0;
   let lostAt: Millis | null = null;
   let isLeaving = false;
   const age = createStalenessTracker(timers);
@@ -135,33 +141,33 @@
     getLostAt: () => lostAt,
   });
 
-  function wakeWaiting(): void {
-    [...waiting].forEach((wake) => wake());
+  function releaseWaiters(): void {
+    [...waiting].forEach((release) => release());
   }
 
-  /** Sources that may answer, the one whose turn it is first. */
-  function listAsked(): readonly InstanceEntry[] {
+  /** Sources to ask, rotated by one with each call. */
+  function listCandidates(): readonly InstanceEntry[] {
     const now = timers.now();
-    // Who has lost the store asks the sources each time: from one that is back the news cost less than from the store.
-    if (now < directUntil && lostAt === null) {
+    // An instance that has lost the store asks the sources each time: a recovered source is cheaper than the store.
+    if (now < directWatchUntil && lostAt === null) {
       return [];
     }
     const sources = options
       .getRole()
-      .sources.filter(({ id }) => (pausedUntil.get(id) ?? -Infinity) <= now);
-    turn += 1;
-    const first = turn % Math.max(1, sources.length);
+      .sources.filter(({ id }) => (backoffUntil.get(id) ?? -Infinity) <= now);
+    rotation += 1;
+    const first = rotation % Math.max(1, sources.length);
     return [...sources.slice(first), ...sources.slice(0, first)];
   }
 
-  /** An aggregator that watches the store for a while, since no watcher has news, may tell other aggregators too. */
+  /** An aggregator that watches the store directly, since no watcher gives updates, may serve other aggregators too. */
   function getLevel(): FanoutLevelValue {
-    return timers.now() < directUntil ? FanoutLevel.Watcher : options.getRole().level;
+    return timers.now() < directWatchUntil ? FanoutLevel.Watcher : options.getRole().level;
   }
 
-  function forgetFormerSources(): void {
+  function pruneBackoffs(): void {
     const ids = new Set(options.getRole().sources.map(({ id }) => id));
-    [...pausedUntil.keys()].filter((id) => !ids.has(id)).forEach((id) => pausedUntil.delete(id));
+    [...backoffUntil.keys()].filter((id) => !ids.has(id)).forEach((id) => backoffUntil.delete(id));
   }
 
   async function askSource(
@@ -169,24 +175,24 @@
     since: number,
     wait: Millis,
   ): Promise<StoreChanges | null> {
-    // One that was silent is to say that it is back, and not to hold up whoever waits for news once more.
+    // A source that did not answer last time is asked without a hold, so that a second failure causes no long delay.
     const work = options.readOwnWork();
-    const longest = Math.min(wait, options.isCrowded() ? CROWDED_HOLD : HOLD);
-    const hold = pausedUntil.has(source.id) ? 0 : longest;
+    const maxHold = Math.min(wait, options.isCrowded() ? MAX_CROWDED_HOLD : MAX_HOLD);
+    const hold = backoffUntil.has(source.id) ? 0 : maxHold;
     const { level } = options.getRole();
-    const ask = { since, hold, level, takesWhole: true, from: options.self, work };
+    const query = { since, hold, level, takesWhole: true, from: options.self, work };
     const askedAt = timers.now();
-    const answer = await options.askForUpdates(source, ask, hold + ASK_MARGIN);
+    const answer = await options.askForUpdates(source, query, hold + ANSWER_MARGIN);
     if (answer.kind === 'silent') {
-      pausedUntil.set(source.id, timers.now() + SILENT_PAUSE);
-      forgetFormerSources();
+      backoffUntil.set(source.id, timers.now() + SILENT_BACKOFF);
+      pruneBackoffs();
     } else {
-      pausedUntil.delete(source.id);
+      backoffUntil.delete(source.id);
     }
     if (answer.kind !== 'news') {
       return null;
     }
-    // The way there and back counts in full, since nobody knows when on it the answer was given.
+    // The full network round trip counts as age, since the time at which the source answered is unknown.
     age.noteAnswer(source.id, answer.age + Math.max(0, timers.now() - askedAt - answer.held));
     options.work.hear(answer.others);
     const { changes } = answer;
@@ -196,67 +202,66 @@
   async function watchRange(
     ...args: Parameters<StoreRangePort['watchRange']>
   ): Promise<StoreOutcome<StoreChanges>> {
-    const [prefix, followed, wait, callOptions] = args;
-    // Peers beside the sources may have told more.
-    const since = Math.max(followed, mirror.getCompleteRevision());
-    const asked = listAsked();
+    const [prefix, followedRevision, wait, callOptions] = args;
+    // Other peers may have given later changes.
+    const since = Math.max(followedRevision, mirror.getCompleteRevision());
+    const asked = listCandidates();
     for (const source of asked) {
       const value = await askSource(source, since, wait);
       if (value !== null) {
-        directUntil = -Infinity;
+        directWatchUntil = -Infinity;
         return { kind: 'done', value };
       }
     }
     if (asked.length === 0) {
       return direct.watchRange(prefix, since, wait, callOptions);
     }
-    noteDirect(asked);
-    // Whether the store itself answers is to be known at once, and not when a watch without news has run out.
+    startDirectWatch(asked);
+    // Without a wait, so that a failure of the store is detected at once and not after a watch without changes.
     return direct.watchRange(prefix, since, 0, { timeout: callOptions.timeout - wait });
   }
 
-  /** While the store is lost, each round ends here, and the first says it for all. */
-  function noteDirect(asked: readonly InstanceEntry[]): void {
-    if (timers.now() >= directUntil) {
+  /** While the store is lost, each round ends here; only the first is reported. */
+  function startDirectWatch(asked: readonly InstanceEntry[]): void {
+    if (timers.now() >= directWatchUntil) {
       options.onDirectWatch(asked.map(({ id }) => id));
     }
-    directUntil = timers.now() + DIRECT_TIME;
+    directWatchUntil = timers.now() + DIRECT_WATCH_TIME;
   }
 
-  function waitForNews(hold: Millis): Promise<void> {
+  function waitForUpdates(hold: Millis): Promise<void> {
     return new Promise((resolve) => {
-      const undo = timers.registerTimeout(hold, wake);
-      function wake(): void {
-        undo();
-        waiting.delete(wake);
+      const cancelTimeout = timers.registerTimeout(hold, release);
+      function release(): void {
+        cancelTimeout();
+        waiting.delete(release);
         resolve();
       }
-      waiting.add(wake);
+      waiting.add(release);
     });
   }
 
   /**
-   * Only an instance nearer to the store is a source: two that asked each other would both hear nothing, and not
-   * know it. One that began later than what is asked for has not heard what was removed before, and would leave
-   * the asker with keys that are gone.
+   * Only an instance closer to the store may answer: two that polled each other would both miss all changes undetected.
+   * One that started after the requested revision lacks earlier removals, and would leave deleted keys at the other.
    */
-  function mayAnswer({ since, level, takesWhole }: UpdateQuery): boolean {
+  function canAnswer({ since, level, takesWhole }: UpdateQuery): boolean {
     return (
       lostAt === null &&
-      age.get() <= LONGEST_SOURCE_AGE &&
+      age.get() <= MAX_SOURCE_AGE &&
       getLevel() < level &&
       !isLeaving &&
       (mirror.hasChangesSince(since) || (takesWhole && mirror.hasFullState()))
     );
   }
 
-  /** Whether the asker knows all that this instance knows in full. */
+  /** Whether this instance has nothing new for a peer at this revision. */
   function isUpToDate(since: number): boolean {
     return mirror.hasChangesSince(since) && mirror.getCompleteRevision() <= since;
   }
 
-  function readAnswer(ask: UpdateQuery, held: Millis): UpdateAnswer {
-    if (!mayAnswer(ask)) {
+  function createAnswer(ask: UpdateQuery, held: Millis): UpdateAnswer {
+    if (!canAnswer(ask)) {
       return { kind: 'deaf' };
     }
     return {
@@ -281,31 +286,31 @@
       const { since, hold } = ask;
       const askedAt = timers.now();
       options.work.take(ask.from, ask.work);
-      if (mayAnswer(ask) && isUpToDate(since) && hold > 0) {
-        await waitForNews(Math.min(hold, HOLD));
+      if (canAnswer(ask) && isUpToDate(since) && hold > 0) {
+        await waitForUpdates(Math.min(hold, MAX_HOLD));
       }
-      return readAnswer(ask, timers.now() - askedAt);
+      return createAnswer(ask, timers.now() - askedAt);
     },
     noteCaughtUp(revision) {
       age.noteApplied();
       if (mirror.noteComplete(revision)) {
-        wakeWaiting();
+        releaseWaiters();
       }
     },
     noteSynced: age.noteSynced,
-    setReachable(next) {
-      if (next) {
+    setReachable(isReachable) {
+      if (isReachable) {
         lostAt = null;
       } else {
         lostAt ??= timers.now();
-        wakeWaiting();
+        releaseWaiters();
       }
     },
-    isCurrent: () => lostAt === null && age.get() <= LONGEST_HEARING_AGE,
+    isCurrent: () => lostAt === null && age.get() <= MAX_CURRENT_AGE,
     readState: age.readState,
     noteLeaving() {
       isLeaving = true;
-      wakeWaiting();
+      releaseWaiters();
     },
   };
 }
--- a/packages/relay/src/__tests__/unit/RelayCoalesce.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayCoalesce.test.ts
@@ -3,10 +3,9 @@
 import { coalesce } from '../../RelayCoalesce.js';
 
 describe('RelayCoalesce', () => {
-  it('runs once for all that was asked for together, and again for what comes later', () => {
-    // Symptom: instances of a large fleet spend a third of their time on the news of one answer of the store.
-    // Sequence: the answer tells of dozens of engines; each of them makes the facts of all anew.
-    // Cause: the work was done for each piece of news.
+  it('runs once for calls made together, and again for a later call', () => {
+    // Guards against instances of a large fleet that spend a third of their time on one answer of the store: it
+    // contains dozens of engines, each of which caused a recomputation of all engines' facts.
     const timers = createVirtualTimers();
     let runs = 0;
     const ask = coalesce(timers, () => {
--- a/packages/relay/src/__tests__/unit/RelayConfirm.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayConfirm.test.ts
@@ -14,16 +14,16 @@
 
 function createBed(onEvents?: (list: readonly StoreEvent[]) => void) {
   const timers = createVirtualTimers();
-  const questions: { revision: number; wait: number; answer: (outcome: Answer) => void }[] = [];
+  const queries: { revision: number; wait: number; answer: (outcome: Answer) => void }[] = [];
   const events: StoreEvent[] = [];
   const known: number[] = [];
-  const heard: boolean[] = [];
+  const results: boolean[] = [];
   const confirm = createRelayConfirm({
     timers,
     store: {
       watchRange: (_prefix, revision, wait) =>
         new Promise((resolve) => {
-          questions.push({ revision, wait, answer: resolve });
+          queries.push({ revision, wait, answer: resolve });
         }),
     },
     getCompleteRevision: () => 7,
@@ -32,54 +32,54 @@
   });
   return {
     timers,
-    questions,
+    queries,
     events,
     known,
-    heard,
-    ask: () => confirm((isCurrent) => heard.push(isCurrent)),
+    results,
+    ask: () => confirm((isCurrent) => results.push(isCurrent)),
     async answer(outcome: Answer) {
-      questions.at(-1)?.answer(outcome);
+      queries.at(-1)?.answer(outcome);
       await timers.advanceToAsync(timers.now() + 1);
     },
   };
 }
 
 describe('RelayConfirm', () => {
-  it('asks once for all who wait, and takes in what it hears before they do', async () => {
+  it('sends one query for all waiting calls, and applies the changes before they return', async () => {
     const bed = createBed();
     bed.ask();
     bed.ask();
     bed.timers.advanceTo(30);
-    expect(bed.questions.map(({ revision, wait }) => [revision, wait])).to.deep.equal([[7, 0]]);
+    expect(bed.queries.map(({ revision, wait }) => [revision, wait])).to.deep.equal([[7, 0]]);
     await bed.answer({ kind: 'done', value: { kind: 'events', events: [CHANGE], revision: 8 } });
-    expect([bed.heard, bed.events, bed.known]).to.deep.equal([[true, true], [CHANGE], [30]]);
+    expect([bed.results, bed.events, bed.known]).to.deep.equal([[true, true], [CHANGE], [30]]);
     bed.ask();
-    expect(bed.questions).to.have.length(2);
+    expect(bed.queries).to.have.length(2);
   });
 
-  it('answers all who wait though what it hears cannot be taken in', async () => {
-    // Guards against callers that wait until their deadline for a question that came to nothing.
+  it('answers all waiting calls even if the changes cannot be applied', async () => {
+    // Guards against callers that wait until their deadline for a failed query.
     const bed = createBed(() => {
-      throw new Error('not understood');
+      throw new Error('malformed value');
     });
     bed.ask();
     await bed.answer({ kind: 'done', value: { kind: 'events', events: [CHANGE], revision: 8 } });
     bed.ask();
-    expect([bed.heard, bed.questions.length]).to.deep.equal([[false], 2]);
+    expect([bed.results, bed.queries.length]).to.deep.equal([[false], 2]);
   });
 
-  it('says that it does not know while the store gives no answer, and lets it be for a moment', async () => {
-    // Guards against a store in trouble that is asked once more by each caller.
+  it('reports that it is not current while the store gives no answer, and backs off', async () => {
+    // Guards against a failing store that gets one more query from each caller.
     const compacted: Answer = { kind: 'done', value: { kind: 'compacted' } };
     for (const outcome of [UNKNOWN, compacted]) {
       const bed = createBed();
       bed.ask();
       await bed.answer(outcome);
       bed.ask();
-      expect([bed.heard, bed.known, bed.questions.length]).to.deep.equal([[false, false], [], 1]);
+      expect([bed.results, bed.known, bed.queries.length]).to.deep.equal([[false, false], [], 1]);
       bed.timers.advanceTo(600);
       bed.ask();
-      expect(bed.questions).to.have.length(2);
+      expect(bed.queries).to.have.length(2);
     }
   });
 });
--- a/packages/relay/src/__tests__/unit/RelayLinks.ts
+++ b/packages/relay/src/__tests__/unit/RelayLinks.ts
@@ -1,17 +1,17 @@
-/** Links of a limited rate between instances and a store, in virtual time, for tests of what instances know. */
+/** Rate-limited links between instances and a store in virtual time, for tests of the store sync. */
 import { LARGE_ANSWER } from '@skylarksail/core/CoreArrival';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreOutcome } from '@skylarksail/store/StorePort';
 import type { StoreChanges, StoreItem, StoreRangePort } from '@skylarksail/store/StoreRange';
 
-/** Bytes a millisecond of a link, in each direction. */
+/** Rate of a link in bytes per millisecond, in each direction. */
 export type LinkRate = number;
 
 export interface FakeLinks {
   /**
-   * Carries an answer between two places. False if there is no time left in which it may begin, or if it does not end
-   * within the time that a whole answer may take; then the rest is not sent.
+   * Transfers an answer between two places. Resolves to false if no time is left in which it may begin, or if it does
+   * not finish within the limit for a whole answer; the rest is then not sent.
    */
   transfer(
     from: string,
@@ -19,26 +19,26 @@
     bytes: number,
     limits: { readonly timeLeft: Millis; readonly whole: Millis },
   ): Promise<boolean>;
-  /** Bytes that a place has sent, arrived in time or not. */
+  /** Bytes that a place has sent, whether or not they arrived in time. */
   countSent(from: string): number;
 }
 
 interface Transfer {
   readonly from: string;
   readonly to: string;
-  readonly rest: number;
-  readonly until: Millis;
-  readonly end: (isThere: boolean) => void;
+  readonly remainingBytes: number;
+  readonly deadline: Millis;
+  readonly end: (hasArrived: boolean) => void;
 }
 
-/** Time in which rates are taken as constant. */
-const TICK: Millis = 5;
-/** What an item, or a message without any, takes beside its key and value. */
+/** Simulation step, in which rates are constant. */
+const TICK_INTERVAL: Millis = 5;
+/** Overhead of an item beyond its key and value, and of a message without items. */
 const OVERHEAD_BYTES = 120;
-/** The store sends values as base64. */
-const BASE64 = 4 / 3;
+/** The store encodes values as base64. */
+const BASE64_OVERHEAD = 4 / 3;
 
-/** Creates links that what passes through them shares evenly. */
+/** Creates links whose rate is shared evenly by their transfers. */
 export function createFakeLinks(
   timers: TimerService,
   getRate: (place: string) => LinkRate,
@@ -58,17 +58,21 @@
     const up = countBy(({ from }) => from);
     const down = countBy(({ to }) => to);
     transfers = transfers.map((transfer) => {
-      const { from, to, rest } = transfer;
+      const { from, to, remainingBytes } = transfer;
       const rate = Math.min(getRate(from) / (up.get(from) ?? 1), getRate(to) / (down.get(to) ?? 1));
-      const moved = Math.min(rest, rate * TICK);
+      const moved = Math.min(remainingBytes, rate * TICK_INTERVAL);
       sent.set(from, (sent.get(from) ?? 0) + moved);
-      return { ...transfer, rest: rest - moved };
+      return { ...transfer, remainingBytes: remainingBytes - moved };
     });
-    const ended = transfers.filter(({ rest, until }) => rest <= 0 || timers.now() >= until);
-    transfers = transfers.filter(({ rest, until }) => rest > 0 && timers.now() < until);
-    ended.forEach(({ rest, end }) => end(rest <= 0));
+    const ended = transfers.filter(
+      ({ remainingBytes, deadline }) => remainingBytes <= 0 || timers.now() >= deadline,
+    );
+    transfers = transfers.filter(
+      ({ remainingBytes, deadline }) => remainingBytes > 0 && timers.now() < deadline,
+    );
+    ended.forEach(({ remainingBytes, end }) => end(remainingBytes <= 0));
     if (transfers.length > 0) {
-      timers.registerTimeout(TICK, tick);
+      timers.registerTimeout(TICK_INTERVAL, tick);
     }
   }
 
@@ -76,13 +80,13 @@
     transfer: (from, to, bytes, { timeLeft, whole }) =>
       new Promise((end) => {
         if (transfers.length === 0) {
-          timers.registerTimeout(TICK, tick);
+          timers.registerTimeout(TICK_INTERVAL, tick);
         }
         transfers.push({
           from,
           to,
-          rest: bytes,
-          until: timers.now() + (timeLeft > 0 ? whole : 0),
+          remainingBytes: bytes,
+          deadline: timers.now() + (timeLeft > 0 ? whole : 0),
           end,
         });
       }),
@@ -98,7 +102,7 @@
 }
 
 function countStoreBytes(items: readonly StoreItem[]): number {
-  return BASE64 * countItemBytes(items);
+  return BASE64_OVERHEAD * countItemBytes(items);
 }
 
 function countChangeBytes(changes: StoreChanges): number {
@@ -106,14 +110,14 @@
   return countStoreBytes(events.flatMap((event) => (event.kind === 'written' ? event.item : [])));
 }
 
-/** The way of one instance to the store: every answer takes its time on the link, and may be too late. */
+/** Connection of one instance to the store: each answer takes time on the link and may arrive too late. */
 export function createLinkedPort(
   links: FakeLinks,
   timers: TimerService,
   self: string,
   store: StoreRangePort,
 ): StoreRangePort {
-  async function bound<T>(
+  async function limitRate<T>(
     timeout: Millis,
     work: Promise<StoreOutcome<T>>,
     countBytes: (value: T) => number,
@@ -122,11 +126,11 @@
     const outcome = await work;
     const bytes = outcome.kind === 'done' ? countBytes(outcome.value) : OVERHEAD_BYTES;
     const begunAt = timers.now();
-    const isThere = await links.transfer('store', self, bytes, {
+    const hasArrived = await links.transfer('store', self, bytes, {
       timeLeft: until - begunAt,
       whole: LARGE_ANSWER.whole,
     });
-    if (!isThere) {
+    if (!hasArrived) {
       return { kind: 'unknown' };
     }
     return outcome.kind === 'done' ? { ...outcome, arrivalTime: timers.now() - begunAt } : outcome;
@@ -135,10 +139,10 @@
   return {
     ...store,
     readRange: (prefix, after, options) =>
-      bound(options.timeout, store.readRange(prefix, after, options), ({ items }) =>
+      limitRate(options.timeout, store.readRange(prefix, after, options), ({ items }) =>
         countStoreBytes(items),
       ),
     watchRange: (prefix, since, wait, options) =>
-      bound(options.timeout, store.watchRange(prefix, since, wait, options), countChangeBytes),
+      limitRate(options.timeout, store.watchRange(prefix, since, wait, options), countChangeBytes),
   };
 }
--- a/packages/relay/src/__tests__/unit/RelayPeerCodec.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPeerCodec.test.ts
@@ -9,8 +9,12 @@
 const NO_WORK = { running: [], lost: [] };
 const LARGE = { key: CONFIG_KEY, value: writeConfig(2, 1640), revision: 7 };
 const SMALL = { key: 'small', value: 'ä', revision: 8 };
-const FORMER = { items: [LARGE, SMALL], removed: [{ key: 'gone', revision: 9 }], revision: 9 };
-const CHANGES = { isWhole: false, ...FORMER };
+const FORMER_CHANGES = {
+  items: [LARGE, SMALL],
+  removed: [{ key: 'gone', revision: 9 }],
+  revision: 9,
+};
+const CHANGES = { isWhole: false, ...FORMER_CHANGES };
 
 function packPeerNews(codec: PeerCodec, news: PeerUpdates, form: AnswerFormName): Buffer {
   return codec.packPeerAnswer({ kind: 'news', ...news }, form) as Buffer;
@@ -21,7 +25,7 @@
 }
 
 describe('RelayPeerCodec', () => {
-  it('carries large and small values as they are, the large ones in a fraction of their bytes', () => {
+  it('preserves large and small values, and sends the large ones in a fraction of their bytes', () => {
     const sender = createPeerCodec();
     const news = { changes: CHANGES, age: 400, held: 300, others: NO_WORK };
     for (const age of [400, null]) {
@@ -33,18 +37,18 @@
     expect(
       createPeerCodec().readUpdates(sender.packUpdates(news, AnswerForm.Deflated)),
     ).to.deep.equal(news);
-    // Twelve subscribers of an aggregator hear it within a quarter of a second on a link of 14 Mbit/s.
+    // An aggregator sends it to twelve subscribers within a quarter of a second on a link of 14 Mbit/s.
     expect(sender.packUpdates(news, AnswerForm.Deflated).byteLength).to.be.below((1750 * 250) / 12);
   });
 
-  it('passes a value on as it came', () => {
+  it('passes a compressed value on unchanged', () => {
     const body = packPeerNews(createPeerCodec(), { changes: CHANGES, age: 0 }, AnswerForm.Deflated);
     const aggregator = createPeerCodec();
-    const heard = aggregator.readPeerUpdates(body);
-    expect(packPeerNews(aggregator, heard, AnswerForm.Deflated)).to.deep.equal(body);
+    const received = aggregator.readPeerUpdates(body);
+    expect(packPeerNews(aggregator, received, AnswerForm.Deflated)).to.deep.equal(body);
   });
 
-  it('takes nothing that is no answer, or that would fill the memory', () => {
+  it('rejects invalid answers, and values that would exhaust memory', () => {
     const bomb = deflateRawSync(Buffer.alloc(64_000_000));
     const bodies = [
       Buffer.from('nonsense'),
@@ -56,17 +60,22 @@
     bodies.forEach((body) => expect(() => codec.readPeerUpdates(body)).to.throw());
   });
 
-  it('is understood by instances of the version before, and understands them', () => {
-    // While a fleet was replaced, each instance of the version before that had lost the store ended as soon as it asked one
-    // of the new: it took an answer in another shape for changes, without a check.
+  it('is compatible with instances of the previous version in both directions', () => {
+    // Guards against crashes in a rolling upgrade: an instance of the previous version that has lost the store queries
+    // a new one, and reads its answer, which has another shape, as changes without validation.
     const codec = createPeerCodec();
     const plain = packPeerNews(codec, { changes: CHANGES, age: 400 }, AnswerForm.Plain);
-    expect(unpack(plain)).to.deep.include(FORMER);
-    expect(codec.readPeerUpdates(pack(FORMER))).to.deep.equal({ changes: CHANGES, age: null });
+    expect(unpack(plain)).to.deep.include(FORMER_CHANGES);
+    expect(codec.readPeerUpdates(pack(FORMER_CHANGES))).to.deep.equal({
+      changes: CHANGES,
+      age: null,
+    });
     const told = { changes: CHANGES, others: NO_WORK };
     const news = codec.packUpdates({ ...told, age: 400, held: 300 }, AnswerForm.Plain);
     expect(unpack(news)).to.deep.include(told);
-    const heard = codec.readUpdates(pack({ kind: 'news', changes: FORMER, others: NO_WORK }));
-    expect(heard).to.deep.equal({ ...told, age: 0, held: 0 });
+    const received = codec.readUpdates(
+      pack({ kind: 'news', changes: FORMER_CHANGES, others: NO_WORK }),
+    );
+    expect(received).to.deep.equal({ ...told, age: 0, held: 0 });
   });
 });
--- a/packages/relay/src/__tests__/unit/RelayPeers.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPeers.test.ts
@@ -20,8 +20,8 @@
   item: { key, value, revision },
 });
 
-/** Takes an empty whole in, as of a revision. */
-function takeWhole(mirror: Mirror, revision: number): void {
+/** Applies an empty snapshot as of a revision. */
+function applyEmptySnapshot(mirror: Mirror, revision: number): void {
   const events = mirror.toEvents({ isWhole: true, items: [], removed: [], revision });
   events.forEach((event) => mirror.apply(event));
   mirror.noteComplete(revision);
@@ -35,8 +35,8 @@
     address: { host: '127.0.0.1', port: i + 1 },
   }));
   const mirrors = instances.map(() => createMirror());
-  const deaf = new Set<number>();
-  const seen: BackendEntry[][] = instances.map(() => []);
+  const silent = new Set<number>();
+  const observed: BackendEntry[][] = instances.map(() => []);
   const told: string[] = [];
   const ages: number[][] = instances.map(() => []);
   const peers: RelayPeers[] = instances.map((self, i) => {
@@ -48,26 +48,25 @@
       mirror,
       askPeer: (address: HostPort, since) => {
         const to = address.port - 1;
-        const answer = deaf.has(to) ? undefined : peers[to]?.answer(since, true);
+        const answer = silent.has(to) ? undefined : peers[to]?.answer(since, true);
         return Promise.resolve(answer ?? { kind: 'silent' as const });
       },
       listInstances: () => instances,
       onEvent: (event) => mirror.apply(event),
-      listObserved: () => seen[i] ?? [],
+      listObserved: () => observed[i] ?? [],
       onObserved: (entry) => told.push(`${self.id}: ${entry.id} ${entry.state}`),
       onRevision: () => undefined,
       getStaleness: () => 400,
       onSynced: (age) => ages[i]?.push(age),
     });
   });
-  return { timers, mirrors, peers, deaf, seen, told, ages };
+  return { timers, mirrors, peers, silent, observed, told, ages };
 }
 
 describe('RelayMirror', () => {
-  it('takes nothing that is older than what it knows of a key', () => {
-    // Symptom: a dropped key or a draining engine is in force again for a moment.
-    // Sequence: a peer tells of revision 9; then the store answers again and tells 7, 8, 9.
-    // Cause: events are believed in the order in which they are heard.
+  it('ignores events older than the known revision of a key', () => {
+    // Guards against a revoked key or a draining engine that is in force again for a moment: a peer sends revision 9,
+    // then the store answers again and replays 7, 8 and 9, and events are applied in order of arrival.
     const mirror = createMirror();
     expect(mirror.apply(write('a', 'new', 9))).to.equal(true);
     expect(mirror.apply(write('a', 'old', 7))).to.equal(false);
@@ -80,7 +79,7 @@
     });
   });
 
-  it('finds in a snapshot what was removed, but nothing that was written after it', () => {
+  it('derives removals from a snapshot, but not for keys written after it', () => {
     const mirror = createMirror();
     mirror.apply(write('a', '1', 3));
     mirror.apply(write('b', '1', 9));
@@ -88,14 +87,15 @@
     expect(events).to.deep.equal([{ kind: 'removed', key: 'a', revision: 5 }]);
   });
 
-  it('tells nobody that all is told who may know of a key that came and went unheard', () => {
-    // An instance keeps an engine that is gone, and sends requests to whoever has its address now. Its source lost the
-    // store for a moment, in which the engine registered and left, and read the whole anew: it never heard of the engine
-    // and had no removal to tell, but took all since before for known.
+  it('does not claim to have all changes across a gap between two snapshots', () => {
+    // Guards against an instance that keeps an engine that has left, and sends requests to whatever has its address
+    // now: its source lost the store for a moment, in which the engine registered and left, and then read a snapshot.
+    // The source never saw the engine and had no removal to send, but claimed to have all changes since before the
+    // loss.
     const mirror = createMirror();
-    takeWhole(mirror, 100);
+    applyEmptySnapshot(mirror, 100);
     expect(mirror.hasChangesSince(102)).to.equal(true);
-    takeWhole(mirror, 110);
+    applyEmptySnapshot(mirror, 110);
     expect(mirror.hasChangesSince(102)).to.equal(false);
     expect(mirror.readSince(102, true).isWhole).to.equal(true);
     expect(mirror.hasChangesSince(110)).to.equal(true);
@@ -103,12 +103,11 @@
 });
 
 describe('RelayPeers', () => {
-  it('hears a change from a peer within a second while the store turns it away', async () => {
-    // Symptom: requests with a key that was taken away still run at one instance.
-    // Sequence: the store turns the instance away; the key is taken away; the others hear it.
-    // Cause: the store is the only source of news.
-    const { timers, mirrors, peers, deaf } = createPeersBed();
-    deaf.add(1);
+  it('gets a change from a peer within a second while the store refuses it', async () => {
+    // Guards against an instance that still runs requests with a revoked key: the store refuses the instance while the
+    // key is revoked, and nothing but the store delivers the change.
+    const { timers, mirrors, peers, silent } = createPeersBed();
+    silent.add(1);
     peers[0]?.noteStoreLost();
     mirrors[2]?.apply(write('config', 'next', 5));
     mirrors[2]?.apply({ kind: 'removed', key: 'server', revision: 6 });
@@ -118,7 +117,7 @@
     expect(known?.removed).to.deep.equal([{ key: 'server', revision: 6 }]);
   });
 
-  it('is told nothing by a peer that does not hear the store itself, and asks no one when it is back', async () => {
+  it('gets no changes from a peer that has lost the store, and stops polling when the store is back', async () => {
     const { timers, mirrors, peers } = createPeersBed();
     peers.forEach((peer) => peer.noteStoreLost());
     mirrors[2]?.apply(write('config', 'next', 5));
@@ -130,11 +129,11 @@
   });
 });
 
-describe('RelayPeers after a reading in parts', () => {
-  it('hears of a key that changed between two pages, though a later one is known', async () => {
-    // Guards against a change that peers are never asked for, since a later one was seen beside it.
+describe('RelayPeers after a paged read', () => {
+  it('gets a key that changed between two pages, though a later change is known', async () => {
+    // Guards against a change that is never requested from peers, since a later one was seen.
     const { timers, mirrors, peers, ages } = createPeersBed();
-    mirrors.forEach((mirror) => takeWhole(mirror, 5));
+    mirrors.forEach((mirror) => applyEmptySnapshot(mirror, 5));
     mirrors[0]?.apply(write('engine', 'registered', 8));
     mirrors[2]?.apply(write('config', 'next', 7));
     mirrors[2]?.apply(write('engine', 'registered', 8));
@@ -146,13 +145,13 @@
     expect(ages[0]).to.include(400);
   });
 
-  it('is told all that there is by a peer that began later', async () => {
-    // Instances that the store went on turning away after an outage stayed in doubt for good: all others had read the store
-    // anew, and could not tell what had come and gone before.
+  it('gets a snapshot from a peer that started later', async () => {
+    // Guards against instances that stay stale for as long as the store refuses them after an outage: all others have
+    // read a snapshot, and lack the changes before it.
     const { timers, mirrors, peers, ages } = createPeersBed();
-    takeWhole(mirrors[0] as Mirror, 5);
+    applyEmptySnapshot(mirrors[0] as Mirror, 5);
     mirrors[0]?.apply(write('engine', 'registered', 5));
-    takeWhole(mirrors[2] as Mirror, 9);
+    applyEmptySnapshot(mirrors[2] as Mirror, 9);
     mirrors[2]?.apply(write('config', 'next', 8));
     expect(mirrors[2]?.readSince(5, false).revision).to.equal(5);
     peers[0]?.noteStoreLost();
@@ -165,14 +164,13 @@
 });
 
 describe('RelayPeers in an outage', () => {
-  it('knows after a while that nobody hears the store, who is silent, and what others saw', async () => {
-    // Symptom: two instances move a domain's layers, or none does; other domains send requests to engines
-    // that have left.
-    // Sequence: the store is out for all; one instance stops; another sees an engine leave.
-    // Cause: only the store told who is there, and which engines are.
-    const { timers, mirrors, peers, deaf, seen, told } = createPeersBed();
-    seen[2] = [createBackend('x', { domain: 'e', state: 'leaving' })];
-    seen[1] = [createBackend('own', { domain: 'd' })];
+  it('detects that no peer reaches the store and which peers are silent, and gets their observations', async () => {
+    // Guards against two instances, or none, that move a domain's layers, and against requests from other domains to
+    // engines that have left: the store is down for all, one instance stops, another sees an engine leave, and only
+    // the store lists instances and engines.
+    const { timers, mirrors, peers, silent, observed, told } = createPeersBed();
+    observed[2] = [createBackend('x', { domain: 'e', state: 'leaving' })];
+    observed[1] = [createBackend('own', { domain: 'd' })];
     peers.forEach((peer) => peer.noteStoreLost());
     expect(peers[0]?.isIsolated()).to.equal(false);
     peers[1]?.noteLeaving();
@@ -185,7 +183,7 @@
     );
     mirrors[2]?.apply(write('config', 'next', 5));
     peers[2]?.noteStoreRegained();
-    deaf.delete(2);
+    silent.delete(2);
     await timers.advanceToAsync(4000);
     expect(peers[0]?.isIsolated()).to.equal(false);
     expect(mirrors[0]?.readSince(0, false).items).to.deep.equal([
@@ -194,10 +192,10 @@
   });
 });
 
-describe('RelayPeers with a store that comes and goes', () => {
-  it('asks no more often after many short losses than after one', async () => {
-    // Instances that lost the store for moments took their peers' links with questions: each loss began a round of asking
-    // of its own, and a round that waited for an answer went on with the next loss.
+describe('RelayPeers with a flapping store', () => {
+  it('polls no more often after many short losses than after one', async () => {
+    // Guards against instances that saturate their peers' links with queries after short losses of the store: each loss
+    // started polling rounds of its own, and a round that waited for an answer continued in the next loss.
     const countAsks = async (losses: number): Promise<number> => {
       const timers = createVirtualTimers();
       const instances = ['one', 'two'].map((id, i) => ({
@@ -242,7 +240,7 @@
 });
 
 describe('RelayPeerHttp', () => {
-  it('carries changes to a peer, and nothing from one that has none or is gone', async () => {
+  it('transfers changes from a peer, and none from one that has lost the store or is gone', async () => {
     const server = createPeerHttp(createSystemTimers());
     const client = createPeerHttp(createSystemTimers());
     const mirror = createMirror();
@@ -273,8 +271,8 @@
     await client.close();
   });
 
-  it('takes nothing that is no list of engines from a peer that hears nothing', async () => {
-    // A peer of another make that answered with any other value ended the process that had asked it.
+  it('rejects an answer of a peer without the store that is no list of engines', async () => {
+    // Guards against a crash of the querying process if a peer of another implementation answers with any other value.
     const client = createPeerHttp(createSystemTimers());
     const server = createServer((_req, res) => {
       res.writeHead(503).end(pack({ any: 'thing' }));
--- a/packages/relay/src/__tests__/unit/RelaySyncBed.ts
+++ b/packages/relay/src/__tests__/unit/RelaySyncBed.ts
@@ -1,4 +1,4 @@
-/** A fleet of instances that know the store through links of a limited rate, for tests of large configurations. */
+/** A fleet of instances that sync with a store over rate-limited links, for tests of large configurations. */
 import { pino } from 'pino';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { createRandom } from '@skylarksail/core/CoreRandom';
@@ -33,20 +33,20 @@
 const NAME_RANGE = 36 ** 6;
 const NO_WORK = { running: [], lost: [] };
 
-/** One instance, with the configurations that it put in force. */
+/** One instance with the configurations that came into force at it. */
 export interface SyncMember {
   readonly id: string;
-  /** From whom it hears now. */
+  /** Its current fan-out role. */
   readonly getRole: () => FanoutRole;
   readonly sync: RelaySync;
   readonly lease: RelayLease;
-  /** When each version came in force. */
+  /** Time at which each version came into force. */
   readonly inForceAt: Map<number, Millis>;
 }
 
 export interface SyncBedOptions {
   readonly instances: number;
-  /** Bytes a millisecond; that of the store where the place is the store. */
+  /** Link rate of an instance or, for `STORE`, of the store. */
   readonly getRate: (place: string) => LinkRate;
 }
 
@@ -55,15 +55,15 @@
   readonly store: FakeRangeStore;
   readonly links: FakeLinks;
   readonly members: readonly SyncMember[];
-  /** Turns some instances away from the store without a word. */
+  /** Cuts some instances off from the store; their calls time out. */
   setCut(isCut: (id: string) => boolean): void;
-  /** Lets some instances answer no peer. */
+  /** Makes some instances answer no peer. */
   setMute(isMute: (id: string) => boolean): void;
-  /** Instances at which a version, or a later one, came in force no later than a time. */
+  /** Instances at which a version, or a later one, came into force no later than a time. */
   listUpToDate(version: number, by: Millis): readonly string[];
 }
 
-/** The text of a configuration with so many routes, as long as the operators' own. */
+/** Text of a configuration with the given number of routes, of the size that operators' configurations have. */
 export function writeConfig(version: number, routes: number, seed = 1): string {
   const random = createRandom(seed);
   return JSON.stringify({
@@ -89,7 +89,7 @@
   return random.nextInt(NAME_RANGE).toString(36);
 }
 
-/** Values are read by many instances: each text is parsed once. */
+/** Parses each text once, since many instances read the same values. */
 function createReader(): (item: { key: string; value: string }) => StoreContent {
   const read = new Map<string, RouteConfig>();
   return ({ key, value }) => {
@@ -113,7 +113,7 @@
   });
 }
 
-/** Bytes of an answer as peers send it. */
+/** Size of an answer on the wire. */
 function countAnswerBytes(answer: PeerAnswer | UpdateAnswer, codec: PeerCodec): number {
   if (answer.kind !== 'news') {
     return ANSWER_BYTES;
@@ -125,7 +125,6 @@
   return ANSWER_BYTES + (body?.byteLength ?? 0);
 }
 
-/** Starts the fleet. */
 export function createSyncBed({ instances, getRate }: SyncBedOptions): SyncBed {
   const timers = createVirtualTimers();
   const store = createFakeRangeStore(timers);
@@ -142,8 +141,8 @@
     });
   }
 
-  /** An answer of a peer, if it comes in time. */
-  async function carry<T>(
+  /** Resolves to a peer's answer if it arrives in time. */
+  async function transferAnswer<T>(
     from: string,
     to: string,
     bytes: number,
@@ -155,27 +154,27 @@
       await sleep(until - begunAt);
       return { kind: 'silent' };
     }
-    const isThere = await links.transfer(from, to, bytes, {
+    const hasArrived = await links.transfer(from, to, bytes, {
       timeLeft: until - begunAt,
       whole: PEER_ANSWER_LIMITS.whole,
     });
-    return isThere ? answer : { kind: 'silent' };
+    return hasArrived ? answer : { kind: 'silent' };
   }
 
   function createPort(id: string): StoreRangePort {
     const port = createLinkedPort(links, timers, id, store);
-    const lose = async (timeout: Millis): Promise<{ kind: 'unknown' }> => {
+    const timeOut = async (timeout: Millis): Promise<{ kind: 'unknown' }> => {
       await sleep(timeout);
       return { kind: 'unknown' };
     };
     return {
       ...port,
       readRange: (prefix, after, options) =>
-        isCut(id) ? lose(options.timeout) : port.readRange(prefix, after, options),
+        isCut(id) ? timeOut(options.timeout) : port.readRange(prefix, after, options),
       watchRange: async (prefix, since, wait, options) => {
         const endsAt = timers.now() + options.timeout;
         const changes = isCut(id) ? null : await port.watchRange(prefix, since, wait, options);
-        return changes === null || isCut(id) ? lose(endsAt - timers.now()) : changes;
+        return changes === null || isCut(id) ? timeOut(endsAt - timers.now()) : changes;
       },
     };
   }
@@ -210,14 +209,14 @@
         const until = timers.now() + timeout;
         const peer = members[to - 1];
         const answer = peer?.sync.peers.answer(since, true) ?? { kind: 'silent' as const };
-        return carry(`i${to - 1}`, id, countAnswerBytes(answer, codec), until, answer);
+        return transferAnswer(`i${to - 1}`, id, countAnswerBytes(answer, codec), until, answer);
       },
       askForUpdates: async ({ id: peer }, ask, timeout) => {
         const until = timers.now() + timeout;
         const source = members.find((member) => member.id === peer);
-        const heard = await source?.sync.updates.answer(ask);
-        const answer = heard ?? { kind: 'silent' as const };
-        return carry(peer, id, countAnswerBytes(answer, codec), until, answer);
+        const sourceAnswer = await source?.sync.updates.answer(ask);
+        const answer = sourceAnswer ?? { kind: 'silent' as const };
+        return transferAnswer(peer, id, countAnswerBytes(answer, codec), until, answer);
       },
       readOwnWork: () => NO_WORK,
       isCrowded: () => false,
--- a/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
@@ -14,27 +14,27 @@
 
 const INSTANCES = 60;
 const DOMAINS = 5;
-/** Within so long a change is to be in force at the deployments with the tightest bound, in ms. */
-const IN_FORCE = 2000;
-const WATCH = 2500;
-const TIMEOUT = 700;
+/** Time in ms in which a change must be in force at the deployments with the tightest bound. */
+const IN_FORCE_BOUND = 2000;
+const WATCH_WAIT = 2500;
+const STORE_TIMEOUT = 700;
 
-const IDLE = { running: [], lost: [] };
-const NO_WORK = {
-  work: { take: () => undefined, sumFor: () => IDLE, hear: () => undefined },
-  readOwnWork: () => IDLE,
+const NO_WORK = { running: [], lost: [] };
+const WORK_OPTIONS = {
+  work: { take: () => undefined, sumFor: () => NO_WORK, hear: () => undefined },
+  readOwnWork: () => NO_WORK,
   isCrowded: () => false,
 };
 
-/** An instance with what it knows of the store, and the faults that it may have. */
+/** An instance with its copy of the store and its faults. */
 interface Member {
   readonly entry: InstanceEntry;
   readonly known: Map<string, string>;
-  /** When each key was last heard of. */
-  readonly heardAt: Map<string, number>;
+  /** Time of the last change of each key. */
+  readonly updatedAt: Map<string, number>;
   news: RelayUpdates;
   isGone: boolean;
-  /** The way to the store swallows everything, without a word. */
+  /** Whether the connection to the store drops everything silently. */
   isCut: boolean;
 }
 
@@ -51,9 +51,9 @@
       timers.registerTimeout(timeout, () => resolve({ kind: 'unknown' }));
     });
     const answer = isCut() ? timedOut : work();
-    // A cut that begins while the store holds a watch swallows its answer too.
-    const done = await Promise.race([answer, timedOut]);
-    return isCut() ? timedOut : done;
+    // A cut that begins during a pending watch drops its answer too.
+    const outcome = await Promise.race([answer, timedOut]);
+    return isCut() ? timedOut : outcome;
   };
   return {
     ...store,
@@ -69,14 +69,14 @@
   const store = createFakeRangeStore(timers);
   const members = new Map<string, Member>();
   let entries: readonly InstanceEntry[] = [];
-  let reads = 0;
-  let turns = 0;
+  let readCount = 0;
+  let directWatchCount = 0;
   const listEntries = (): readonly InstanceEntry[] => entries;
 
   const countingStore: FakeRangeStore = {
     ...store,
     readRange(...args) {
-      reads += 1;
+      readCount += 1;
       return store.readRange(...args);
     },
   };
@@ -86,18 +86,18 @@
     const entry = { id, domain, address: { host: '127.0.0.1', port: members.size + 1 } };
     const mirror = createMirror();
     const known = new Map<string, string>();
-    const heardAt = new Map<string, number>();
+    const updatedAt = new Map<string, number>();
     const role = createFanoutRoleCache(entry, listEntries);
     const isCut = (): boolean => members.get(id)?.isCut ?? false;
     const news = createRelayUpdates({
       self: id,
-      ...NO_WORK,
+      ...WORK_OPTIONS,
       timers,
       store: createCutPort(countingStore, timers, isCut),
       mirror,
       getRole: role.get,
       onDirectWatch() {
-        turns += 1;
+        directWatchCount += 1;
       },
       askForUpdates: async ({ id: peer }, ask, timeout) => {
         const source = members.get(peer);
@@ -113,7 +113,7 @@
     const take = (event: StoreEvent): void => {
       if (mirror.apply(event)) {
         const key = event.kind === 'written' ? event.item.key : event.key;
-        heardAt.set(key, timers.now());
+        updatedAt.set(key, timers.now());
         if (event.kind === 'written') {
           known.set(key, event.item.value);
         } else {
@@ -121,7 +121,7 @@
         }
       }
     };
-    const member = { entry, known, heardAt, news, isGone: false, isCut: false };
+    const member = { entry, known, updatedAt, news, isGone: false, isCut: false };
     members.set(id, member);
     entries = [...entries, entry];
     registerFollow({
@@ -129,8 +129,8 @@
       timers,
       random: createRandom(members.size),
       prefix: '',
-      wait: WATCH,
-      timeout: TIMEOUT,
+      wait: WATCH_WAIT,
+      timeout: STORE_TIMEOUT,
       getGatherTime: role.getGatherTime,
       listener: {
         onSnapshot(items, revision) {
@@ -151,10 +151,10 @@
     );
   }
 
-  /** Longest time in which an instance that lives and reaches someone heard of a key, in ms. */
-  function getLongest(key: string, since: number): number {
-    const living = [...members.values()].filter(({ isGone, isCut }) => !isGone && !isCut);
-    return Math.max(...living.map(({ heardAt }) => (heardAt.get(key) ?? Infinity) - since));
+  /** Longest delay in ms until a running, connected instance had a key. */
+  function getLongestDelay(key: string, since: number): number {
+    const reachable = [...members.values()].filter(({ isGone, isCut }) => !isGone && !isCut);
+    return Math.max(...reachable.map(({ updatedAt }) => (updatedAt.get(key) ?? Infinity) - since));
   }
 
   return {
@@ -163,9 +163,9 @@
     members,
     start,
     listSources,
-    getLongest,
-    countReads: () => reads,
-    countTurns: () => turns,
+    getLongestDelay,
+    countReads: () => readCount,
+    countDirectWatches: () => directWatchCount,
   };
 }
 
@@ -177,37 +177,35 @@
   return bed;
 }
 
-describe('RelayNews', () => {
-  it('lets three instances watch the store, and all hear of each change', async () => {
-    // Symptom: on a calm day a seventh of what a fleet of 195 earns goes to calls to the store.
-    // Sequence: engines register one after the other; nothing else happens.
-    // Cause: each change is a call of each instance, and so is the end of each watch without news.
-    const { timers, store, members, listSources, getLongest } = await startFleet();
+describe('Fan-out of store updates', () => {
+  it('lets three instances watch the store, and delivers each change to all', async () => {
+    // Guards against a fleet of 195 that spends a seventh of its revenue on store calls while engines only register one
+    // after another: each change, and each end of a watch without changes, costs a call per instance.
+    const { timers, store, members, listSources, getLongestDelay } = await startFleet();
     expect(listSources()).to.have.length(3);
     const before = store.countCalls();
     for (let i = 0; i < 10; i++) {
       const at = timers.now();
       store.put(`engine${i}`, 'there');
       await timers.advanceToAsync(at + 3000);
-      expect(getLongest(`engine${i}`, at)).to.be.below(IN_FORCE);
+      expect(getLongestDelay(`engine${i}`, at)).to.be.below(IN_FORCE_BOUND);
     }
-    // Thirty seconds: three that watch take a call for each change and one a second.
+    // In thirty seconds, each of the three watchers makes a call per change and one per second.
     expect(store.countCalls() - before).to.be.below(3 * (30 + 10 + 5));
     expect(members.get('i0')?.known.size).to.equal(11);
   });
 
-  it('keeps a small fleet’s instances at the store, where nothing would be saved', async () => {
+  it('lets all instances of a small fleet watch the store, since sources would save nothing', async () => {
     const { listSources } = await startFleet(10);
     expect(listSources()).to.have.length(10);
   });
 
-  it('tells of a change in time while a source is dead or cut off from the store, and while all are', async () => {
-    // Symptom: instances that are well serve an old configuration for seconds.
-    // Sequence: a source dies, or its way to the store goes silent; the configuration changes.
-    // Cause: whoever hears by others is as late as they are.
+  it('delivers a change in time while some or all sources are dead or cut off from the store', async () => {
+    // Guards against healthy instances that use an old configuration for seconds: a source dies, or its connection to
+    // the store goes dead, and whoever depends on it gets the next configuration as late as it does.
     for (const fault of ['isGone', 'isCut'] as const) {
       for (const count of [1, 2, 3]) {
-        const { timers, store, listSources, getLongest } = await startFleet();
+        const { timers, store, listSources, getLongestDelay } = await startFleet();
         const at = timers.now();
         listSources()
           .slice(0, count)
@@ -215,41 +213,41 @@
         await timers.advanceToAsync(at + 100);
         store.put('config', 'two');
         await timers.advanceToAsync(at + 10_000);
-        // Watchers that all go silent together know it only when their watch is over.
-        const bound = count === 3 ? 2 * IN_FORCE : IN_FORCE;
-        expect(getLongest('config', at + 100), `${count} ${fault}`).to.be.below(bound);
+        // Watchers that are all cut off at once detect it only when their watch ends.
+        const bound = count === 3 ? 2 * IN_FORCE_BOUND : IN_FORCE_BOUND;
+        expect(getLongestDelay('config', at + 100), `${count} ${fault}`).to.be.below(bound);
       }
     }
   });
 
-  it('asks the store itself while all watchers are dead', async () => {
-    const { timers, store, listSources, getLongest } = await startFleet();
+  it('watches the store directly while all watchers are dead', async () => {
+    const { timers, store, listSources, getLongestDelay } = await startFleet();
     listSources().forEach((source) => Object.assign(source, { isGone: true }));
     await timers.advanceToAsync(8000);
     for (let i = 0; i < 5; i++) {
       const at = timers.now();
       store.put(`engine${i}`, 'there');
       await timers.advanceToAsync(at + 3000);
-      expect(getLongest(`engine${i}`, at)).to.be.below(IN_FORCE);
+      expect(getLongestDelay(`engine${i}`, at)).to.be.below(IN_FORCE_BOUND);
     }
   });
 
-  it('sends nobody to the store while a source is well, at a start or beside a dead watcher', async () => {
-    // A limit on the age of what a source may tell was under what is usual at a start, when watchers that nobody had asked
-    // yet watched for longer, and beside a dead watcher: 72 of 75 instances turned to the store in the third second.
-    const { timers, listSources, countTurns } = await startFleet(75);
-    const atStart = countTurns();
+  it('causes no direct watches while a source works, at startup or with a dead watcher', async () => {
+    // Guards against a staleness limit for sources that is below the usual value with a dead watcher, or at startup,
+    // when watchers without polls watch for longer: 72 of 75 instances fell back to the store in the third second.
+    const { timers, listSources, countDirectWatches } = await startFleet(75);
+    const atStart = countDirectWatches();
     listSources()
       .slice(0, 1)
       .forEach((source) => Object.assign(source, { isGone: true, isCut: true }));
     await timers.advanceToAsync(timers.now() + 20_000);
-    expect([atStart, countTurns()]).to.deep.equal([0, 0]);
+    expect([atStart, countDirectWatches()]).to.deep.equal([0, 0]);
   });
 
-  it('does not hide what was removed before a source began', async () => {
-    // Symptom: an engine that is gone gets requests from some instances for good.
-    // Sequence: the engine's entry goes while all sources are down; new instances become the sources.
-    // Cause: who began later never heard of the entry, and has no removal of it to tell.
+  it('delivers removals from before a source started', async () => {
+    // Guards against an engine that has left but gets requests from some instances indefinitely: its entry is removed
+    // while all sources are down, and new instances, which never saw the entry and have no tombstone for it, become
+    // the sources.
     const { timers, store, members, start, listSources } = await startFleet(15);
     store.put('engine', 'there');
     await timers.advanceToAsync(8000);
@@ -261,11 +259,11 @@
     expect(listSources().some(({ entry }) => entry.id.startsWith('new'))).to.equal(true);
     members.forEach((member) => Object.assign(member, { isCut: false }));
     await timers.advanceToAsync(timers.now() + 6000);
-    const believing = [...members.values()].filter(({ known }) => known.has('engine'));
-    expect(believing).to.deep.equal([]);
+    const stale = [...members.values()].filter(({ known }) => known.has('engine'));
+    expect(stale).to.deep.equal([]);
   });
 
-  it('tells of removals that a source itself learned from a whole reading', async () => {
+  it('delivers removals that a source derived from a snapshot', async () => {
     const { timers, store, members } = await startFleet(15);
     store.put('engine', 'there');
     await timers.advanceToAsync(8000);
@@ -275,8 +273,8 @@
     members.forEach(({ known }) => expect(known.has('engine')).to.equal(false));
   });
 
-  it('takes no news for younger than they are while the store is silent for all', async () => {
-    // Guards against an instance that takes itself for up to date because its source, which is as old, does.
+  it('never understates staleness while the store is unreachable for all', async () => {
+    // Guards against an instance that counts as current because its equally stale source does.
     const { timers, members } = await startFleet();
     const at = timers.now();
     members.forEach((member) => Object.assign(member, { isCut: true }));
@@ -289,9 +287,10 @@
     }
   });
 
-  it('reads the store anew after a long loss, and goes on from where it was after a short one', async () => {
-    // After an outage of some seconds, in which a large configuration was written several times, each instance was
-    // sent every version since then in one answer: 3.9 MB in place of 0.5. On narrow links it never arrived whole.
+  it('reads a snapshot after a long loss, and resumes the watch after a short one', async () => {
+    // Guards against an answer that never arrives whole on narrow links: after an outage of some seconds, in which a
+    // large configuration was written several times, each instance was sent every version in one answer, 3.9 MB
+    // instead of 0.5.
     for (const [loss, isReadAnew] of [
       [600, false],
       [5000, true],
@@ -309,7 +308,7 @@
     }
   });
 
-  it('says nothing of times whose removals were forgotten', async () => {
+  it('refuses to answer for revisions whose tombstones were pruned', async () => {
     const mirror = createMirror();
     for (let i = 1; i <= 2100; i++) {
       mirror.apply({ kind: 'removed', key: `k${i}`, revision: i });
@@ -317,7 +316,7 @@
     const timers = createVirtualTimers();
     const news = createRelayUpdates({
       self: 'one',
-      ...NO_WORK,
+      ...WORK_OPTIONS,
       timers,
       store: createFakeRangeStore(timers),
       mirror,
@@ -330,9 +329,9 @@
       level: FanoutLevel.Subscriber,
       takesWhole: false,
       from: 'two',
-      work: IDLE,
+      work: NO_WORK,
     };
-    await news.port.readRange('', null, { timeout: TIMEOUT });
+    await news.port.readRange('', null, { timeout: STORE_TIMEOUT });
     mirror.toEvents({ isWhole: true, items: [], removed: [], revision: 1 });
     news.noteCaughtUp(1);
     news.noteCaughtUp(2100);
