--- a/packages/bench/src/IdleBench.ts
+++ b/packages/bench/src/IdleBench.ts
@@ -88,7 +88,7 @@
     mostCopies: 2,
     wallNow: () => Date.now(),
     changeTime: 2000,
-    leaseLeast: 1000,
+    minLeaseTime: 1000,
     timers,
     random,
     store,
--- a/packages/claims/src/ClaimHead.ts
+++ b/packages/claims/src/ClaimHead.ts
@@ -18,7 +18,7 @@
 }
 
 /** A sealed segment as the head names it. */
-export interface SegmentName {
+export interface SegmentRef {
   readonly name: string;
   readonly count: number;
   /** Newest time that a key in it carries; null if its keys carry none. */
@@ -33,7 +33,7 @@
   readonly writeId: string;
   /** Keys that carry a time before this are refused; claims of such keys may be gone. */
   readonly floor: number;
-  readonly segments: readonly SegmentName[];
+  readonly segments: readonly SegmentRef[];
   /** Asks in sealed segments whose claims were given back. */
   readonly withdrawn: readonly string[];
   readonly claims: readonly SlotClaim[];
--- a/packages/claims/src/ClaimMessages.ts
+++ b/packages/claims/src/ClaimMessages.ts
@@ -3,7 +3,7 @@
 import type { ClaimRecord } from './ClaimPort.js';
 
 /** An ask on its way to the slot's owner. Asking again with the same id does no harm. */
-export interface PeerAsk {
+export interface PeerClaimRequest {
   readonly askId: string;
   readonly keyHash: string;
   readonly fingerprint: string;
@@ -12,7 +12,7 @@
 }
 
 export type ClaimPeerMessage =
-  | { readonly kind: 'claim-ask'; readonly slot: number; readonly ask: PeerAsk }
+  | { readonly kind: 'claim-ask'; readonly slot: number; readonly ask: PeerClaimRequest }
   /** The sender will never dispatch the ask. */
   | {
       readonly kind: 'claim-release';
@@ -68,6 +68,6 @@
 }
 
 /** The process that made an ask, the only one that may dispatch it. */
-export function readAsker(askId: string): string {
+export function readProcessName(askId: string): string {
   return askId.slice(0, askId.lastIndexOf('/'));
 }
--- a/packages/claims/src/ClaimOwner.ts
+++ b/packages/claims/src/ClaimOwner.ts
@@ -9,13 +9,13 @@
 import { findOrphans } from './ClaimCollector.js';
 import { encodeClaims, encodeHead } from './ClaimHead.js';
 import { createClaimSlot, stepSlot } from './ClaimSlot.js';
-import { getWakeTime } from './ClaimSlotCalls.js';
+import { getNextTickTime } from './ClaimSlotCalls.js';
 import {
   DEFAULT_SLOT_SETTINGS,
   SlotPhase,
   type ClaimSlotSettings,
   type ClaimSlotState,
-  type SlotAsk,
+  type SlotClaimRequest,
   type SlotEffect,
   type SlotEvent,
   type SlotReply,
@@ -36,7 +36,7 @@
 }
 
 export interface ClaimOwner {
-  ask(slot: number, ask: SlotAsk): Promise<SlotReply>;
+  ask(slot: number, ask: SlotClaimRequest): Promise<SlotReply>;
   release(slot: number, askId: string, keyHash: string): void;
   settle(slot: number, askId: string, outcome: RunStateName): void;
   /** Part of all slots that this instance owns or is taking, for its part of the budget. */
@@ -97,7 +97,7 @@
     }
     step.effects.forEach((effect) => runEffect(target, effect));
     target.cancelWake();
-    const wakeAt = getWakeTime(target.state);
+    const wakeAt = getNextTickTime(target.state);
     if (wakeAt !== null) {
       const delay = Math.max(0, wakeAt - timers.now());
       target.cancelWake = timers.registerTimeout(delay, () => dispatch(slot, { kind: 'tick' }));
--- a/packages/claims/src/ClaimPort.ts
+++ b/packages/claims/src/ClaimPort.ts
@@ -3,7 +3,7 @@
 import type { Millis, RequestId, TeamId } from '@skylarksail/core/CoreTypes';
 
 /** Asks for the right to run a keyed, non-idempotent request. */
-export interface ClaimAsk {
+export interface ClaimRequest {
   readonly team: TeamId;
   readonly key: string;
   /** Hash of what is asked for; the same key with other content is refused. */
@@ -34,7 +34,7 @@
   | { readonly kind: 'unavailable'; readonly retryAfter: Millis };
 
 export interface ClaimPort {
-  claim(ask: ClaimAsk): Promise<ClaimOutcome>;
+  claim(ask: ClaimRequest): Promise<ClaimOutcome>;
   /** Says how a granted request ended. Best effort: safety does not hang on it. */
   settle(token: string, record: ClaimRecord): void;
   /** Gives a claim back that was granted and proven not to have run. */
--- a/packages/claims/src/ClaimRecords.ts
+++ b/packages/claims/src/ClaimRecords.ts
@@ -22,7 +22,7 @@
 export interface ClaimRecords {
   get(askId: string): HolderState;
   setRunning(askId: string): void;
-  setNever(askId: string): void;
+  setNeverDispatched(askId: string): void;
   setEnded(askId: string, record: ClaimRecord): void;
   countBytes(): number;
 }
@@ -52,7 +52,7 @@
   return {
     get: (askId) => states.get(askId) ?? { kind: 'unknown' },
     setRunning: (askId) => set(askId, { kind: 'running' }),
-    setNever: (askId) => set(askId, { kind: 'never' }),
+    setNeverDispatched: (askId) => set(askId, { kind: 'never' }),
     setEnded(askId, record) {
       const isLong = Buffer.byteLength(record.answer ?? '') > limits.answerBytes;
       set(askId, { kind: 'ended', record: isLong ? { ...record, answer: null } : record });
--- a/packages/claims/src/ClaimRouter.ts
+++ b/packages/claims/src/ClaimRouter.ts
@@ -12,16 +12,16 @@
 import {
   createAskId,
   createProcessName,
-  readAsker,
+  readProcessName,
   readInstance,
   type ClaimPeerMessage,
   type ClaimPeerReply,
   type HolderState,
   type OwnerAnswer,
-  type PeerAsk,
+  type PeerClaimRequest,
 } from './ClaimMessages.js';
 import type { ClaimOwner } from './ClaimOwner.js';
-import type { ClaimAsk, ClaimOutcome, ClaimPort, ClaimRecord } from './ClaimPort.js';
+import type { ClaimRequest, ClaimOutcome, ClaimPort, ClaimRecord } from './ClaimPort.js';
 import {
   createClaimRecords,
   DEFAULT_RECORD_LIMITS,
@@ -116,7 +116,7 @@
 
   async function askOwner(
     key: ClaimKey,
-    ask: Omit<PeerAsk, 'timeLeft'>,
+    ask: Omit<PeerClaimRequest, 'timeLeft'>,
     deadline: Millis,
   ): Promise<OwnerAnswer> {
     let hint: InstanceId | null = null;
@@ -146,7 +146,7 @@
     return named !== asked && getLiveInstances().includes(named) ? named : null;
   }
 
-  async function claim(ask: ClaimAsk): Promise<ClaimOutcome> {
+  async function claim(ask: ClaimRequest): Promise<ClaimOutcome> {
     const key = createClaimKey(ask.team, ask.key, slots);
     const askId = createAskId(processName, nextAsk);
     nextAsk += 1;
@@ -164,7 +164,7 @@
       return { kind: 'granted', token: askId };
     }
     // From here on this ask is never dispatched, whatever reply comes yet.
-    records.setNever(askId);
+    records.setNeverDispatched(askId);
     if (answer.kind === 'granted' || answer.kind === 'unavailable') {
       tell(key.slot, { kind: 'claim-release', slot: key.slot, askId, keyHash: key.hash });
     }
@@ -173,7 +173,7 @@
       : answer;
   }
 
-  async function handleAsk(slot: number, ask: PeerAsk): Promise<OwnerAnswer> {
+  async function handleAsk(slot: number, ask: PeerClaimRequest): Promise<OwnerAnswer> {
     const deadline = timers.now() + ask.timeLeft;
     const slotAsk = {
       askId: ask.askId,
@@ -207,10 +207,10 @@
 
   async function queryHolder(askId: string): Promise<HolderState> {
     const held = describeAsk(askId);
-    if (held.kind !== 'unknown' || readAsker(askId) === processName) {
+    if (held.kind !== 'unknown' || readProcessName(askId) === processName) {
       return held;
     }
-    const holder = readInstance(readAsker(askId));
+    const holder = readInstance(readProcessName(askId));
     if (holder === instance || !getLiveInstances().includes(holder)) {
       return held;
     }
@@ -245,7 +245,7 @@
     const held = granted.get(token);
     if (held) {
       granted.delete(token);
-      records.setNever(token);
+      records.setNeverDispatched(token);
       tell(held.slot, { kind: 'claim-release', askId: token, ...held });
     }
   }
@@ -272,7 +272,7 @@
 ): OwnerAnswer {
   switch (state.kind) {
     case 'running':
-      return { kind: 'running', instance: readInstance(readAsker(taken.askId)) };
+      return { kind: 'running', instance: readInstance(readProcessName(taken.askId)) };
     case 'ended':
       return { kind: 'ended', record: state.record };
     default:
--- a/packages/claims/src/ClaimSlot.ts
+++ b/packages/claims/src/ClaimSlot.ts
@@ -8,14 +8,25 @@
 import type { StoreEntry, StoreOutcome } from '@skylarksail/store/StorePort';
 import { decodeClaims, decodeHead, tryDecode, type SlotHead } from './ClaimHead.js';
 import { adoptHead, indexClaims } from './ClaimSlotBatch.js';
-import { advance } from './ClaimSlotCalls.js';
-import { findMissing, getAddedAsks, isInDoubt, isSealed } from './ClaimSlotLookup.js';
-import { answerWaiting, chain, reply, RETRY_WHEN_LATE_MS, stay } from './ClaimSlotSteps.js';
+import { startNextCall } from './ClaimSlotCalls.js';
+import {
+  findUnloadedSegments,
+  getAddedRequestIds,
+  isInUnconfirmedSwap,
+  isSealed,
+} from './ClaimSlotLookup.js';
+import {
+  answerWaiting,
+  continueStep,
+  reply,
+  RETRY_AFTER_TIMEOUT_MS,
+  createStep,
+} from './ClaimSlotSteps.js';
 import {
   SlotPhase,
   type ClaimSlotSettings,
   type ClaimSlotState,
-  type SlotAsk,
+  type SlotClaimRequest,
   type SlotClock,
   type SlotEvent,
   type SlotStep,
@@ -37,22 +48,26 @@
     waiting: [],
     released: new Map(),
     outcomes: new Map(),
-    swapping: null,
+    inFlightHead: null,
     reading: false,
     readingSegments: new Set(),
     work: null,
-    doubtful: [],
+    unconfirmedSwaps: [],
     needsRead: false,
     nextCallAt: 0,
     nextWriteNumber: 1,
-    lostTo: '',
+    newOwner: '',
     deferUntil: 0,
   };
 }
 
 /** Takes an event and gives the next state with what is to be done. */
 export function stepSlot(state: ClaimSlotState, event: SlotEvent, clock: SlotClock): SlotStep {
-  return chain(chain(handleEvent(state, event, clock), answerWaiting, clock), advance, clock);
+  return continueStep(
+    continueStep(handleEvent(state, event, clock), answerWaiting, clock),
+    startNextCall,
+    clock,
+  );
 }
 
 function handleEvent(state: ClaimSlotState, event: SlotEvent, clock: SlotClock): SlotStep {
@@ -60,38 +75,38 @@
     case 'ask':
       return handleAsk(state, event.ask, clock);
     case 'release':
-      return stay(handleRelease(state, event.askId, event.keyHash));
+      return createStep(handleRelease(state, event.askId, event.keyHash));
     case 'settle':
-      return stay(handleSettle(state, event.askId, event.outcome));
+      return createStep(handleSettle(state, event.askId, event.outcome));
     case 'head-read':
       return handleHeadRead({ ...state, reading: false }, event.outcome, clock);
     case 'head-swapped':
       return handleSwapped(state, event.outcome, clock);
     case 'segment-read':
-      return stay(handleSegmentRead(state, event.name, event.outcome, clock));
+      return createStep(handleSegmentRead(state, event.name, event.outcome, clock));
     case 'segment-written':
-      return stay(handleSegmentWritten(state, event, clock));
+      return createStep(handleSegmentWritten(state, event, clock));
     default:
-      return stay(state);
+      return createStep(state);
   }
 }
 
-function handleAsk(state: ClaimSlotState, ask: SlotAsk, { now }: SlotClock): SlotStep {
+function handleAsk(state: ClaimSlotState, ask: SlotClaimRequest, { now }: SlotClock): SlotStep {
   if (state.released.has(ask.askId)) {
     // Its asker gave up; this is a copy of the ask that was still on its way.
     return {
       state,
-      effects: [reply(ask.askId, { kind: 'unavailable', retryAfter: RETRY_WHEN_LATE_MS })],
+      effects: [reply(ask.askId, { kind: 'unavailable', retryAfter: RETRY_AFTER_TIMEOUT_MS })],
     };
   }
   if (state.phase === SlotPhase.Idle && now < state.deferUntil) {
     return {
       state,
-      effects: [reply(ask.askId, { kind: 'not-owner', owner: state.lostTo })],
+      effects: [reply(ask.askId, { kind: 'not-owner', owner: state.newOwner })],
     };
   }
   const others = state.waiting.filter((waiting) => waiting.askId !== ask.askId);
-  return stay({ ...state, waiting: [...others, ask] });
+  return createStep({ ...state, waiting: [...others, ask] });
 }
 
 function handleRelease(state: ClaimSlotState, askId: string, keyHash: string): ClaimSlotState {
@@ -102,7 +117,7 @@
   const mayBeStored =
     state.phase !== SlotPhase.Held ||
     state.known?.open.get(keyHash)?.askId === askId ||
-    isInDoubt(state, askId) ||
+    isInUnconfirmedSwap(state, askId) ||
     isSealed(state, askId, keyHash);
   return mayBeStored
     ? { ...state, waiting, released: new Map([...state.released, [askId, keyHash]]) }
@@ -120,26 +135,26 @@
   clock: SlotClock,
 ): SlotStep {
   if (outcome.kind !== 'done') {
-    return stay(pause(state, outcome, clock));
+    return createStep(pause(state, outcome, clock));
   }
   const { revision } = outcome.value;
   const head = tryDecode(decodeHead, outcome.value.value);
   if (!head) {
-    return stay(pause(state, { kind: 'unknown' }, clock));
+    return createStep(pause(state, { kind: 'unknown' }, clock));
   }
-  if (state.doubtful.some((swap) => swap.writeId === head.writeId)) {
+  if (state.unconfirmedSwaps.some((swap) => swap.writeId === head.writeId)) {
     // A swap without an answer did take effect.
     return adoptOwn(state, revision, head);
   }
   if (state.known?.revision === revision) {
     // This proves nothing: an unanswered swap may still be on its way. Only the next swap from this
     // revision, once it has won, keeps the earlier ones from ever landing.
-    return stay({ ...state, needsRead: false });
+    return createStep({ ...state, needsRead: false });
   }
   const isTaking = state.phase === SlotPhase.Taking;
   if (isTaking && (state.known === null || state.known.head.epoch === head.epoch)) {
     const known = { revision, head, open: indexClaims(head.claims) };
-    return stay({ ...state, known, doubtful: [], needsRead: false });
+    return createStep({ ...state, known, unconfirmedSwaps: [], needsRead: false });
   }
   return loseSlot(state, head.owner, clock);
 }
@@ -149,23 +164,25 @@
   outcome: StoreOutcome<number>,
   clock: SlotClock,
 ): SlotStep {
-  const { swapping } = state;
-  const calm = { ...state, swapping: null };
+  const { inFlightHead: swapping } = state;
+  const calm = { ...state, inFlightHead: null };
   if (!swapping) {
-    return stay(state);
+    return createStep(state);
   }
   if (outcome.kind === 'done') {
     return adoptOwn(calm, outcome.value, swapping);
   }
   if (outcome.kind === 'unknown') {
-    const askIds = getAddedAsks(state, swapping);
-    const doubtful = [...state.doubtful, { writeId: swapping.writeId, askIds }];
-    return stay(pause({ ...calm, doubtful, needsRead: true }, outcome, clock));
+    const askIds = getAddedRequestIds(state, swapping);
+    const doubtful = [...state.unconfirmedSwaps, { writeId: swapping.writeId, askIds }];
+    return createStep(
+      pause({ ...calm, unconfirmedSwaps: doubtful, needsRead: true }, outcome, clock),
+    );
   }
   if (outcome.reason.kind === 'conflict') {
-    return stay({ ...calm, needsRead: true, nextCallAt: clock.now });
+    return createStep({ ...calm, needsRead: true, nextCallAt: clock.now });
   }
-  return stay(pause(calm, outcome, clock));
+  return createStep(pause(calm, outcome, clock));
 }
 
 function adoptOwn(state: ClaimSlotState, revision: number, head: SlotHead): SlotStep {
@@ -173,7 +190,7 @@
   if (state.phase !== SlotPhase.Taking) {
     return { state: adopted, effects };
   }
-  const phase = findMissing(adopted, head).length > 0 ? SlotPhase.Loading : SlotPhase.Held;
+  const phase = findUnloadedSegments(adopted, head).length > 0 ? SlotPhase.Loading : SlotPhase.Held;
   return { state: { ...adopted, phase }, effects };
 }
 
@@ -186,7 +203,7 @@
       // Sealed segments never change, so what was read of them stays true.
       segments: state.segments,
       nextWriteNumber: state.nextWriteNumber,
-      lostTo: owner,
+      newOwner: owner,
       deferUntil: now + state.settings.deferAfterLoss,
     },
     effects: state.waiting.map((ask) => reply(ask.askId, { kind: 'not-owner', owner })),
--- a/packages/claims/src/ClaimSlotBatch.ts
+++ b/packages/claims/src/ClaimSlotBatch.ts
@@ -2,13 +2,13 @@
  * What the next swap of a slot writes, and what follows from a swap that is known to be stored: claims
  * put in and taken out, segments sealed, merged and let go.
  */
-import type { SegmentName, SlotClaim, SlotHead } from './ClaimHead.js';
+import type { SegmentRef, SlotClaim, SlotHead } from './ClaimHead.js';
 import { isSealed } from './ClaimSlotLookup.js';
 import {
   SlotPhase,
   type ClaimSlotState,
   type SegmentWork,
-  type SlotAsk,
+  type SlotClaimRequest,
   type SlotEffect,
   type SlotStep,
 } from './ClaimSlotTypes.js';
@@ -82,8 +82,8 @@
       work: workDone ? null : state.work,
       released: isTaking ? state.released : new Map([...state.released].filter(isStillStored)),
       outcomes: new Map([...state.outcomes].filter(([askId]) => unmarked.has(askId))),
-      swapping: null,
-      doubtful: [],
+      inFlightHead: null,
+      unconfirmedSwaps: [],
       needsRead: false,
     },
     effects: dropped.map(({ name }): SlotEffect => ({ kind: 'remove-segment', name })),
@@ -91,7 +91,11 @@
 }
 
 /** The next segment to seal or to merge, if it is time. */
-export function planWork(state: ClaimSlotState, head: SlotHead, name: string): SegmentWork | null {
+export function planSegmentWork(
+  state: ClaimSlotState,
+  head: SlotHead,
+  name: string,
+): SegmentWork | null {
   return planSeal(state, head, name) ?? planMerge(state, head, name);
 }
 
@@ -102,7 +106,7 @@
 
 function chooseNewClaims(state: ClaimSlotState, kept: readonly SlotClaim[]): SlotClaim[] {
   const room = Math.max(0, state.settings.openLimit - kept.length);
-  const firstOfKey = new Map<string, SlotAsk>();
+  const firstOfKey = new Map<string, SlotClaimRequest>();
   for (const ask of state.waiting) {
     if (!firstOfKey.has(ask.keyHash)) {
       firstOfKey.set(ask.keyHash, ask);
@@ -120,7 +124,7 @@
 function chooseWithdrawn(
   state: ClaimSlotState,
   known: SlotHead,
-  segments: readonly SegmentName[],
+  segments: readonly SegmentRef[],
 ): readonly string[] {
   const added = [...state.released]
     .filter(([askId, keyHash]) => isSealed(state, askId, keyHash))
@@ -134,7 +138,7 @@
 function dropUnneeded(
   state: ClaimSlotState,
   withdrawn: readonly string[],
-  segments: readonly SegmentName[],
+  segments: readonly SegmentRef[],
 ): readonly string[] {
   const claims = segments
     .flatMap(({ name }) => [...(state.segments.get(name)?.values() ?? [])])
@@ -143,11 +147,11 @@
   return withdrawn.filter((askId) => sealed.has(askId));
 }
 
-function isAged(segment: SegmentName, state: ClaimSlotState, wall: number): boolean {
+function isAged(segment: SegmentRef, state: ClaimSlotState, wall: number): boolean {
   return segment.newest !== null && segment.newest < wall - state.settings.retention;
 }
 
-function nameSegment({ name, claims }: SegmentWork): SegmentName {
+function nameSegment({ name, claims }: SegmentWork): SegmentRef {
   return { name, count: claims.length, newest: findNewest(claims) };
 }
 
@@ -171,7 +175,7 @@
 
 function planMerge(state: ClaimSlotState, head: SlotHead, name: string): SegmentWork | null {
   const { mergeAt, segmentLimit, sealAt } = state.settings;
-  const groups = new Map<string, SegmentName[]>();
+  const groups = new Map<string, SegmentRef[]>();
   for (const segment of head.segments) {
     if (segment.count * mergeAt <= segmentLimit) {
       const level = Math.round(Math.log(segment.count / sealAt) / Math.log(mergeAt));
--- a/packages/claims/src/ClaimSlotCalls.ts
+++ b/packages/claims/src/ClaimSlotCalls.ts
@@ -1,16 +1,16 @@
 /** Which call to the platform's service a slot makes next, and when. One call to the head at a time. */
 import type { SlotHead } from './ClaimHead.js';
-import { buildBatch, hasBatch, planWork } from './ClaimSlotBatch.js';
-import { findMissing } from './ClaimSlotLookup.js';
-import { answerWaiting, chain, stay } from './ClaimSlotSteps.js';
+import { buildBatch, hasBatch, planSegmentWork } from './ClaimSlotBatch.js';
+import { findUnloadedSegments } from './ClaimSlotLookup.js';
+import { answerWaiting, continueStep, createStep } from './ClaimSlotSteps.js';
 import { SlotPhase, type ClaimSlotState, type SlotClock, type SlotStep } from './ClaimSlotTypes.js';
 
 const PARALLEL_SEGMENT_READS = 8;
 
 /** When the slot wants a tick, or null while it waits for an answer or has nothing to do. */
-export function getWakeTime(state: ClaimSlotState): number | null {
+export function getNextTickTime(state: ClaimSlotState): number | null {
   const deadline = state.waiting.reduce((least, ask) => Math.min(least, ask.deadline), Infinity);
-  const isCalling = state.swapping !== null || state.reading;
+  const isCalling = state.inFlightHead !== null || state.reading;
   const next = !isCalling && hasWork(state) ? state.nextCallAt : Infinity;
   const wakeAt = Math.min(deadline, next);
   return wakeAt === Infinity ? null : wakeAt;
@@ -30,9 +30,9 @@
 }
 
 /** Starts the next call, if it is time and none is under way. */
-export function advance(state: ClaimSlotState, clock: SlotClock): SlotStep {
-  if (state.swapping || state.reading || clock.now < state.nextCallAt || !hasWork(state)) {
-    return stay(state);
+export function startNextCall(state: ClaimSlotState, clock: SlotClock): SlotStep {
+  if (state.inFlightHead || state.reading || clock.now < state.nextCallAt || !hasWork(state)) {
+    return createStep(state);
   }
   if (state.phase === SlotPhase.Idle) {
     return readHead({ ...state, phase: SlotPhase.Taking });
@@ -51,7 +51,7 @@
     case SlotPhase.Loading:
       return loadSegments(state, state.known.head, clock);
     default:
-      return chain(startWork(state, state.known.head), startBatch, clock);
+      return continueStep(startWork(state, state.known.head), startBatch, clock);
   }
 }
 
@@ -66,13 +66,13 @@
 ): SlotStep {
   const { known } = state;
   if (!known) {
-    return stay(state);
+    return createStep(state);
   }
   const swapping = change(known.head, `${state.owner}.${state.nextWriteNumber}`);
   return {
     state: {
       ...state,
-      swapping,
+      inFlightHead: swapping,
       nextWriteNumber: state.nextWriteNumber + 1,
       nextCallAt: state.phase === SlotPhase.Held ? now + state.settings.batchInterval : now,
     },
@@ -81,10 +81,10 @@
 }
 
 function loadSegments(state: ClaimSlotState, head: SlotHead, clock: SlotClock): SlotStep {
-  const missing = findMissing(state, head);
+  const missing = findUnloadedSegments(state, head);
   if (missing.length === 0) {
     const held = { ...state, phase: SlotPhase.Held };
-    return chain(chain(stay(held), answerWaiting, clock), advance, clock);
+    return continueStep(continueStep(createStep(held), answerWaiting, clock), startNextCall, clock);
   }
   const names = missing.slice(0, PARALLEL_SEGMENT_READS);
   return {
@@ -94,9 +94,9 @@
 }
 
 function startWork(state: ClaimSlotState, head: SlotHead): SlotStep {
-  const work = state.work ?? planWork(state, head, `${head.epoch}-${state.nextWriteNumber}`);
+  const work = state.work ?? planSegmentWork(state, head, `${head.epoch}-${state.nextWriteNumber}`);
   if (work?.state !== 'planned') {
-    return stay(state);
+    return createStep(state);
   }
   return {
     state: {
@@ -110,7 +110,7 @@
 
 function startBatch(state: ClaimSlotState, clock: SlotClock): SlotStep {
   if (!hasBatch(state)) {
-    return stay(state);
+    return createStep(state);
   }
   return swapHead(state, clock, (head, writeId) => buildBatch(state, head, writeId, clock.wall));
 }
--- a/packages/claims/src/ClaimSlotLookup.ts
+++ b/packages/claims/src/ClaimSlotLookup.ts
@@ -1,6 +1,6 @@
 /** What a slot knows of a key. Reads only. */
 import type { SlotClaim, SlotHead } from './ClaimHead.js';
-import type { ClaimSlotState, SlotAsk, SlotReply } from './ClaimSlotTypes.js';
+import type { ClaimSlotState, SlotClaimRequest, SlotReply } from './ClaimSlotTypes.js';
 
 /** A refused key is worth another try once claims have been let go, which takes long. */
 const RETRY_WHEN_FULL_MS = 60_000;
@@ -33,17 +33,17 @@
 }
 
 /** Asks whose claims a swap from the known head puts in; those that it only keeps are left out. */
-export function getAddedAsks(state: ClaimSlotState, swap: SlotHead): ReadonlySet<string> {
+export function getAddedRequestIds(state: ClaimSlotState, swap: SlotHead): ReadonlySet<string> {
   const open = state.known?.open;
   const added = swap.claims.filter(({ keyHash, askId }) => open?.get(keyHash)?.askId !== askId);
   return new Set(added.map((claim) => claim.askId));
 }
 
 /** Whether a swap that may still land would put the ask's claim in. */
-export function isInDoubt(state: ClaimSlotState, askId: string): boolean {
-  const { swapping, doubtful } = state;
+export function isInUnconfirmedSwap(state: ClaimSlotState, askId: string): boolean {
+  const { inFlightHead: swapping, unconfirmedSwaps: doubtful } = state;
   return (
-    (swapping !== null && getAddedAsks(state, swapping).has(askId)) ||
+    (swapping !== null && getAddedRequestIds(state, swapping).has(askId)) ||
     doubtful.some((swap) => swap.askIds.has(askId))
   );
 }
@@ -55,7 +55,7 @@
 }
 
 /** The reply to an ask from what is stored, or null if it takes a swap to tell. */
-export function answerAsk(state: ClaimSlotState, ask: SlotAsk): SlotReply | null {
+export function createReply(state: ClaimSlotState, ask: SlotClaimRequest): SlotReply | null {
   const claim = findClaim(state, ask.keyHash);
   if (claim && state.released.has(claim.askId)) {
     // The next batch takes that claim out, and may give the key to this ask.
@@ -75,7 +75,7 @@
   return null;
 }
 
-function answerClaimed(claim: SlotClaim, ask: SlotAsk): SlotReply {
+function answerClaimed(claim: SlotClaim, ask: SlotClaimRequest): SlotReply {
   if (claim.askId === ask.askId) {
     return { kind: 'granted' };
   }
@@ -86,6 +86,6 @@
 }
 
 /** Sealed segments that the head names and that are not read yet. */
-export function findMissing(state: ClaimSlotState, head: SlotHead): readonly string[] {
+export function findUnloadedSegments(state: ClaimSlotState, head: SlotHead): readonly string[] {
   return head.segments.map((segment) => segment.name).filter((name) => !state.segments.has(name));
 }
--- a/packages/claims/src/ClaimSlotTypes.ts
+++ b/packages/claims/src/ClaimSlotTypes.ts
@@ -38,7 +38,7 @@
 };
 
 /** An ask as the slot's owner sees it. `askId` names the asker and may dispatch at most once. */
-export interface SlotAsk {
+export interface SlotClaimRequest {
   readonly askId: string;
   readonly keyHash: string;
   readonly fingerprint: string;
@@ -77,7 +77,7 @@
 }
 
 /** A swap without an answer: it took effect, may take effect yet, or never will. */
-export interface DoubtfulSwap {
+export interface UnconfirmedSwap {
   readonly writeId: string;
   /** Asks whose claims it would put in. */
   readonly askIds: ReadonlySet<string>;
@@ -101,29 +101,29 @@
   readonly known: KnownHead | null;
   /** Sealed segments that were read or written here, by name. */
   readonly segments: ReadonlyMap<string, ReadonlyMap<string, SlotClaim>>;
-  readonly waiting: readonly SlotAsk[];
+  readonly waiting: readonly SlotClaimRequest[];
   /** Asks that will never be dispatched, with their keys; their claims are still to be taken out. */
   readonly released: ReadonlyMap<string, string>;
   /** Outcomes to be marked in the open segment with the next batch. */
   readonly outcomes: ReadonlyMap<string, RunStateName>;
   /** The head of the swap that is under way, if one is. */
-  readonly swapping: SlotHead | null;
+  readonly inFlightHead: SlotHead | null;
   readonly reading: boolean;
   readonly readingSegments: ReadonlySet<string>;
   readonly work: SegmentWork | null;
   /** Swaps from the known revision that had no answer: they may land at any later time. */
-  readonly doubtful: readonly DoubtfulSwap[];
+  readonly unconfirmedSwaps: readonly UnconfirmedSwap[];
   /** The known head may be out of date and must be read before the next swap. */
   readonly needsRead: boolean;
   readonly nextCallAt: Millis;
   readonly nextWriteNumber: number;
   /** Who took the slot from us, and until when asks are sent there. */
-  readonly lostTo: string;
+  readonly newOwner: string;
   readonly deferUntil: Millis;
 }
 
 export type SlotEvent =
-  | { readonly kind: 'ask'; readonly ask: SlotAsk }
+  | { readonly kind: 'ask'; readonly ask: SlotClaimRequest }
   /** The asker will never dispatch it, or it is proven that nothing ran. */
   | { readonly kind: 'release'; readonly askId: string; readonly keyHash: string }
   | { readonly kind: 'settle'; readonly askId: string; readonly outcome: RunStateName }
--- a/packages/core/src/CoreArrival.ts
+++ b/packages/core/src/CoreResponseTimeout.ts
@@ -6,7 +6,7 @@
 import type { TimerService } from './CoreTimers.js';
 import type { Millis, Unregister } from './CoreTypes.js';
 
-export interface ArrivalLimits {
+export interface ResponseTimeoutLimits {
   /** Longest time until the answer begins. */
   readonly begin: Millis;
   /** Longest time without a byte after that. */
@@ -16,13 +16,13 @@
 }
 
 /** Watches one answer arrive. */
-export interface Arrival {
+export interface ResponseTimeout {
   /** Aborted once a limit is passed. */
   readonly signal: AbortSignal;
   /** Something of the answer has come. */
-  noteProgress(): void;
+  recordProgress(): void;
   /** Time since the answer began. */
-  getTime(): Millis;
+  getElapsed(): Millis;
   /** The answer is there, or has failed: no limit holds any longer. */
   end(): void;
 }
@@ -34,7 +34,10 @@
 const READING_TIME: Millis = 20;
 
 /** Starts to wait for an answer. */
-export function startArrival(timers: TimerService, limits: ArrivalLimits): Arrival {
+export function startResponseTimeout(
+  timers: TimerService,
+  limits: ResponseTimeoutLimits,
+): ResponseTimeout {
   const controller = new AbortController();
   let undoSilence: Unregister = () => undefined;
   let undoWhole: Unregister | null = null;
@@ -47,13 +50,13 @@
 
   return {
     signal: controller.signal,
-    noteProgress() {
+    recordProgress() {
       begunAt ??= timers.now();
       undoSilence();
       undoSilence = timers.registerTimeout(limits.gap, giveUp);
       undoWhole ??= timers.registerTimeout(limits.whole, abort);
     },
-    getTime: () => (begunAt === null ? 0 : timers.now() - begunAt),
+    getElapsed: () => (begunAt === null ? 0 : timers.now() - begunAt),
     end() {
       undoSilence();
       undoWhole?.();
@@ -62,21 +65,21 @@
 }
 
 /** Collects an answer whose head has come; rejects if its sender breaks off or a limit is passed. */
-export async function collectArrival(
-  arrival: Arrival,
+export async function collectResponseBody(
+  arrival: ResponseTimeout,
   body: AsyncIterable<Uint8Array>,
 ): Promise<Buffer> {
   const chunks: Uint8Array[] = [];
-  arrival.noteProgress();
+  arrival.recordProgress();
   for await (const chunk of body) {
-    arrival.noteProgress();
+    arrival.recordProgress();
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
 }
 
 /** Limits of answers that may be large. The time in which they are to begin is the caller's. */
-export const LARGE_ANSWER = {
+export const LARGE_RESPONSE_LIMITS = {
   /** A packet that is lost is sent again several times within it. */
   gap: 1000,
   whole: 8000,
--- a/packages/core/src/__tests__/unit/CoreArrival.test.ts
+++ b/packages/core/src/__tests__/unit/CoreResponseTimeout.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { startArrival } from '../../CoreArrival.js';
+import { startResponseTimeout } from '../../CoreResponseTimeout.js';
 import { createVirtualTimers } from '../../CoreTimers.js';
 
 /** Time in which what has come is read after a limit. */
@@ -8,7 +8,7 @@
 
 function startBed() {
   const timers = createVirtualTimers();
-  return { timers, arrival: startArrival(timers, LIMITS) };
+  return { timers, arrival: startResponseTimeout(timers, LIMITS) };
 }
 
 describe('CoreArrival', () => {
@@ -26,11 +26,11 @@
     const { timers, arrival } = startBed();
     for (let at = 600; at <= 1800; at += 200) {
       timers.advanceTo(at);
-      arrival.noteProgress();
+      arrival.recordProgress();
     }
     timers.advanceTo(2099);
     expect(arrival.signal.aborted).to.equal(false);
-    expect(arrival.getTime()).to.equal(1499);
+    expect(arrival.getElapsed()).to.equal(1499);
     timers.advanceTo(2100 + READING);
     expect(arrival.signal.aborted).to.equal(true);
   });
@@ -40,7 +40,7 @@
     // that have come are read.
     const { timers, arrival } = startBed();
     timers.advanceTo(LIMITS.begin);
-    arrival.noteProgress();
+    arrival.recordProgress();
     timers.advanceTo(LIMITS.begin + READING);
     expect(arrival.signal.aborted).to.equal(false);
   });
@@ -49,7 +49,7 @@
     const { timers, arrival } = startBed();
     for (let at = 100; at <= 2000; at += 100) {
       timers.advanceTo(at);
-      arrival.noteProgress();
+      arrival.recordProgress();
     }
     expect(arrival.signal.aborted).to.equal(false);
     timers.advanceTo(2100);
@@ -58,7 +58,7 @@
 
   it('leaves no timer behind', () => {
     const { timers, arrival } = startBed();
-    arrival.noteProgress();
+    arrival.recordProgress();
     arrival.end();
     expect(timers.countPending()).to.equal(0);
   });
--- a/packages/daemon/src/DaemonPlacement.ts
+++ b/packages/daemon/src/DaemonPlacement.ts
@@ -6,7 +6,10 @@
 import type { PlacementStatus } from '@skylarksail/placement/PlacementRunner';
 import { startPlacementRunner } from '@skylarksail/placement/PlacementRunner';
 import type { ServableVersion } from '@skylarksail/placement/PlacementVersions';
-import { getServableVersion, getServableVersions } from '@skylarksail/placement/PlacementVersions';
+import {
+  chooseServableVersion,
+  getServableVersions,
+} from '@skylarksail/placement/PlacementVersions';
 import { StoreUse } from '@skylarksail/store/StoreBudget';
 import type { StoreClient } from '@skylarksail/store/StoreClient';
 import type { DaemonLogger } from './DaemonLog.js';
@@ -88,7 +91,7 @@
   return {
     getStatus: runner.getStatus,
     chooseVersion: (model) =>
-      getServableVersion(versions.get(model.id) ?? [], random.nextFloat()) ?? model.serve,
+      chooseServableVersion(versions.get(model.id) ?? [], random.nextFloat()) ?? model.serve,
     stop() {
       undo.forEach((stop) => stop());
       runner.stop();
--- a/packages/daemon/src/DaemonPlatformHttp.ts
+++ b/packages/daemon/src/DaemonPlatformHttp.ts
@@ -1,7 +1,11 @@
 /** The platform's services over HTTP: the adapter behind the StorePort. */
 import { Agent } from 'undici';
 import { z } from 'zod';
-import { collectArrival, LARGE_ANSWER, startArrival } from '@skylarksail/core/CoreArrival';
+import {
+  collectResponseBody,
+  LARGE_RESPONSE_LIMITS,
+  startResponseTimeout,
+} from '@skylarksail/core/CoreResponseTimeout';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { HostPort, Millis } from '@skylarksail/core/CoreTypes';
 import type {
@@ -69,7 +73,7 @@
    * is therefore `unknown`, also a status that only something between us and the service would send.
    */
   async function send<T>(call: HttpCall<T>): Promise<StoreOutcome<T>> {
-    const arrival = startArrival(timers, { begin: call.timeout, ...LARGE_ANSWER });
+    const arrival = startResponseTimeout(timers, { begin: call.timeout, ...LARGE_RESPONSE_LIMITS });
     try {
       const res = await agent.request({
         origin,
@@ -83,7 +87,7 @@
               body: JSON.stringify(call.body),
             }),
       });
-      const text = (await collectArrival(arrival, res.body)).toString('utf8');
+      const text = (await collectResponseBody(arrival, res.body)).toString('utf8');
       const json: unknown = JSON.parse(text);
       if (res.statusCode === STATUS_OK) {
         return { kind: 'done', value: call.parse(json) };
--- a/packages/daemon/src/__tests__/unit/DaemonPlatformHttp.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonPlatformHttp.test.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
-import { LARGE_ANSWER } from '@skylarksail/core/CoreArrival';
+import { LARGE_RESPONSE_LIMITS } from '@skylarksail/core/CoreResponseTimeout';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createPlatformHttp } from '../../DaemonPlatformHttp.js';
 
@@ -39,7 +39,7 @@
 
     const broken = get();
     await untilBegun();
-    timers.advanceTo(timers.now() + 2 * LARGE_ANSWER.gap);
+    timers.advanceTo(timers.now() + 2 * LARGE_RESPONSE_LIMITS.gap);
     expect(await broken).to.deep.equal({ kind: 'unknown' });
     await platform.close();
     server.closeAllConnections();
--- a/packages/placement/src/PlacementAdmission.ts
+++ b/packages/placement/src/PlacementAdmission.ts
@@ -23,7 +23,7 @@
 /** A move with its engine, its place in the order, and the stage and version that it is for. */
 export interface PlannedMove extends PlacementMove {
   readonly from: PlacementEngine;
-  readonly urgency: number;
+  readonly urgencyRank: number;
   readonly stage: string | null;
 }
 
--- a/packages/placement/src/PlacementCopies.ts
+++ b/packages/placement/src/PlacementCopies.ts
@@ -6,28 +6,28 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
 import type { GroupModel } from './PlacementGroups.js';
-import { createGroupLayout, createGroupPlan, getEngineRoom } from './PlacementGroups.js';
+import { createGroupLayout, createGroupPlan, getEngineHeadroom } from './PlacementGroups.js';
 import type { RangeEngine, RangeModel, RangePlan } from './PlacementRanges.js';
 import {
   compareIds,
   findGaps,
-  MOST_WEIGHTS,
-  MOST_WEIGHTS_IN_NEED,
+  MAX_WEIGHT_SHARE,
+  MAX_GAP_WEIGHT_SHARE,
   planRanges,
-  splitByMemory,
+  partitionByMemory,
 } from './PlacementRanges.js';
 import { isHeldBy } from './PlacementSteps.js';
 
 /** What may be done beside giving layers to engines that hold none. */
-export interface CopyPatience {
+export interface PermittedChanges {
   /** Missing layers were waited for long enough: engines that hold others may take them. */
-  readonly mayMend: boolean;
+  readonly mayReassign: boolean;
   /** Engines that are missing do not come back: the whole domain may be cut anew where no few can mend it. */
-  readonly mayCutAnew: boolean;
+  readonly mayRebuild: boolean;
   /** Nothing has changed for long: an engine may go from a range with many holders to one with few. */
   readonly mayBalance: boolean;
   /** A domain of one chain may be cut anew for more room. */
-  readonly mayRecut: boolean;
+  readonly mayRepartition: boolean;
 }
 
 /** Layers between two boundaries of what engines hold, with those that hold them. */
@@ -47,7 +47,7 @@
   engines: readonly RangeEngine[],
   model: GroupModel,
   mostCopies: number,
-  patience: CopyPatience,
+  patience: PermittedChanges,
 ): RangePlan | null {
   const isFresh = engines.every(({ held }) => held === null);
   if (!hasCopies(engines)) {
@@ -55,17 +55,17 @@
     const isFull = engines.every(({ held }) => held !== null);
     const layout = isFull ? null : createGroupLayout(engines, model, mostCopies);
     if (layout === null) {
-      return planRanges(engines, model, isFresh || patience.mayMend || patience.mayRecut);
+      return planRanges(engines, model, isFresh || patience.mayReassign || patience.mayRepartition);
     }
     if (isFresh) {
       return createGroupPlan(layout);
     }
   }
   const plan = new Map<EngineId, LayerRange>();
-  fillMissing(engines, model, patience.mayMend, plan);
+  fillMissing(engines, model, patience.mayReassign, plan);
   const filled = applyPlan(engines, plan);
   if (findGaps(filled, model).length > 0) {
-    return patience.mayCutAnew ? cutAnew(engines, model, mostCopies) : toPlan(plan);
+    return patience.mayRebuild ? cutAnew(engines, model, mostCopies) : toPlan(plan);
   }
   addHolders(filled, model, plan);
   if (plan.size === 0 && patience.mayBalance) {
@@ -123,7 +123,7 @@
   model: RangeModel,
 ): RangePlan | null {
   const [best] = candidates
-    .filter((engine) => canHold(engine, range, model, MOST_WEIGHTS_IN_NEED))
+    .filter((engine) => canHold(engine, range, model, MAX_GAP_WEIGHT_SHARE))
     .sort((a, b) => a.memoryBytes - b.memoryBytes || compareIds(a, b));
   return best ? new Map([[best.id, range]]) : null;
 }
@@ -136,7 +136,7 @@
 ): RangePlan | null {
   const largest = [...candidates].sort((a, b) => b.memoryBytes - a.memoryBytes || compareIds(a, b));
   for (let count = 2; count <= largest.length; count++) {
-    const plan = splitByMemory(largest.slice(0, count), range, model);
+    const plan = partitionByMemory(largest.slice(0, count), range, model);
     if (plan) {
       return plan;
     }
@@ -159,7 +159,7 @@
       return [];
     }
     const range = { first: Math.min(held.first, gap.first), end: Math.max(held.end, gap.end) };
-    return canHold(engine, range, model, MOST_WEIGHTS_IN_NEED) ? [{ engine, range }] : [];
+    return canHold(engine, range, model, MAX_GAP_WEIGHT_SHARE) ? [{ engine, range }] : [];
   });
   const [best] = options.sort(
     (a, b) => getRoom(b.engine, b.range, model) - getRoom(a.engine, a.range, model),
@@ -194,7 +194,7 @@
   let present = engines;
   for (const spare of engines.filter(({ held }) => held === null)) {
     const segments = listSegments(present).filter(({ range }) =>
-      canHold(spare, range, model, MOST_WEIGHTS),
+      canHold(spare, range, model, MAX_WEIGHT_SHARE),
     );
     const [thinnest] = segments.sort((a, b) => compareSegments(a, b, model));
     if (thinnest) {
@@ -217,7 +217,7 @@
       (engine) =>
         engine.held !== null &&
         countHolders(segments, engine.held) >= least &&
-        canHold(engine, range, model, MOST_WEIGHTS),
+        canHold(engine, range, model, MAX_WEIGHT_SHARE),
     );
     if (donor) {
       plan.set(donor.id, range);
@@ -269,7 +269,7 @@
 }
 
 function getRoom(engine: RangeEngine, { first, end }: LayerRange, model: RangeModel): number {
-  return getEngineRoom(engine, end - first, model);
+  return getEngineHeadroom(engine, end - first, model);
 }
 
 function canHold(
--- a/packages/placement/src/PlacementCuts.ts
+++ b/packages/placement/src/PlacementCuts.ts
@@ -109,7 +109,7 @@
  * The cuts in use: ranges that engines hold or will hold, joined so that the fewest layers are missing
  * and the slowest stage is the fastest. What is missing becomes a stage without engines.
  */
-export function findCuts(
+export function findStageRanges(
   model: PlacementModel,
   held: readonly PlacementEngine[],
 ): readonly LayerRange[] {
--- a/packages/placement/src/PlacementGroups.ts
+++ b/packages/placement/src/PlacementGroups.ts
@@ -9,7 +9,7 @@
 import { findGrouping } from './PlacementGrouping.js';
 import type { GroupSize } from './PlacementGrouping.js';
 import type { RangeEngine, RangeModel, RangePlan } from './PlacementRanges.js';
-import { MOST_WEIGHTS } from './PlacementRanges.js';
+import { MAX_WEIGHT_SHARE } from './PlacementRanges.js';
 
 /** A model, with what its requests take. */
 export interface GroupModel extends RangeModel {
@@ -93,7 +93,7 @@
 }
 
 /** KV cache for each of `count` layers at an engine, in bytes. */
-export function getEngineRoom(
+export function getEngineHeadroom(
   { memoryBytes }: Pick<RangeEngine, 'memoryBytes'>,
   count: number,
   { layerBytes }: RangeModel,
@@ -145,7 +145,7 @@
   const least = Math.min(...engines.map(({ memoryBytes }) => memoryBytes));
   return Math.min(
     Math.floor(memory / (room * getRoomShare(engines) + left.length * layerBytes)),
-    Math.floor((MOST_WEIGHTS * least) / layerBytes),
+    Math.floor((MAX_WEIGHT_SHARE * least) / layerBytes),
   );
 }
 
@@ -190,7 +190,7 @@
 /** KV cache for each layer of a group whose largest engine is gone, in bytes. */
 function getGroupRoom({ engines, layers }: EngineGroup, model: RangeModel): number {
   const left = listLeft(engines);
-  const room = left.reduce((sum, engine) => sum + getEngineRoom(engine, layers, model), 0);
+  const room = left.reduce((sum, engine) => sum + getEngineHeadroom(engine, layers, model), 0);
   return room / getRoomShare(engines);
 }
 
--- a/packages/placement/src/PlacementKept.ts
+++ b/packages/placement/src/PlacementKept.ts
@@ -1,5 +1,5 @@
 /** A layout that keeps the cuts in use, and moves as few engines as bring enough. */
-import { findCuts } from './PlacementCuts.js';
+import { findStageRanges } from './PlacementCuts.js';
 import { countFittingLayers, getRate } from './PlacementGoals.js';
 import { getStageRate, scoreLayout } from './PlacementScore.js';
 import type { Layout, LayoutColumn, ModelGoal, PlacementEngine } from './PlacementTypes.js';
@@ -41,7 +41,7 @@
 ): LayoutColumn | null {
   const { model } = goal;
   const held = engines.filter(({ expected }) => expected?.model === model.id);
-  const cuts = findCuts(model, held);
+  const cuts = findStageRanges(model, held);
   const stages = cuts.map((layers) => ({
     layers,
     engines: held.filter(
--- a/packages/placement/src/PlacementMoves.ts
+++ b/packages/placement/src/PlacementMoves.ts
@@ -15,7 +15,7 @@
   PlacementModel,
   PlacementState,
 } from './PlacementTypes.js';
-import { MOVE_ORDER, MoveReason } from './PlacementTypes.js';
+import { MOVE_REASONS_BY_URGENCY, MoveReason } from './PlacementTypes.js';
 
 /** Rounding of sums of rates. */
 const ROUNDING = 1e-6;
@@ -115,7 +115,7 @@
     reason,
     bytes: isLoad ? layers * getLayerBytes(model, want.version) : 0,
     from: engine,
-    urgency: MOVE_ORDER.indexOf(reason),
+    urgencyRank: MOVE_REASONS_BY_URGENCY.indexOf(reason),
     stage: want && getStageName(want),
   };
 }
@@ -145,7 +145,7 @@
 }
 
 /** Whether any model will have less than its minimum, or nothing, once the orders under way are done. */
-export function isAnyShort(state: PlacementState, goals: readonly ModelGoal[]): boolean {
+export function isAnyBelowMinimum(state: PlacementState, goals: readonly ModelGoal[]): boolean {
   return createOutlook(state, goals).short.size > 0;
 }
 
@@ -212,13 +212,15 @@
   });
   const rest = [...planned].sort(
     (a, b) =>
-      a.urgency - b.urgency || a.from.running - b.from.running || (a.engine < b.engine ? -1 : 1),
+      a.urgencyRank - b.urgencyRank ||
+      a.from.running - b.from.running ||
+      (a.engine < b.engine ? -1 : 1),
   );
   const ordered: PlannedMove[] = [];
   for (let [first] = rest; first; [first] = rest) {
     let next = first;
     for (const move of rest) {
-      if (move.urgency !== first.urgency) {
+      if (move.urgencyRank !== first.urgencyRank) {
         break;
       }
       next = getDone(move) < getDone(next) - ROUNDING ? move : next;
--- a/packages/placement/src/PlacementOrderTypes.ts
+++ b/packages/placement/src/PlacementOrderTypes.ts
@@ -85,7 +85,7 @@
 }
 
 /** A lease as it was looked at just before a step; null if there is none that is safe to act under. */
-export interface LeaseLook {
+export interface LeaseSnapshot {
   readonly fencing: number;
 }
 
@@ -122,7 +122,7 @@
       readonly kind: 'planned';
       readonly moves: readonly PlacementMove[];
       /** Engines that take orders whatever their number. */
-      readonly unchecking: ReadonlySet<EngineId>;
+      readonly unfencedEngines: ReadonlySet<EngineId>;
     }
   | { readonly kind: 'weights-answered'; readonly engine: EngineId; readonly isGranted: boolean }
   | {
--- a/packages/placement/src/PlacementOrders.ts
+++ b/packages/placement/src/PlacementOrders.ts
@@ -9,7 +9,7 @@
   EngineRecord,
   EngineReport,
   HeldOrderLease,
-  LeaseLook,
+  LeaseSnapshot,
   OrderSettings,
   OrdersEffect,
   OrdersEvent,
@@ -38,7 +38,7 @@
 /** The time, and what the lease is at that time. */
 export interface OrdersContext {
   readonly now: Millis;
-  readonly lease: LeaseLook | null;
+  readonly lease: LeaseSnapshot | null;
 }
 
 export function createOrders(domain: DomainId, settings: OrderSettings): OrdersState {
@@ -66,7 +66,7 @@
       return settleAll(takeReports(leased, event.reports, context.now), context.now);
     case 'planned':
       return event.moves.reduce(
-        (step, move) => startMove(step, move, event.unchecking, context.now),
+        (step, move) => startMove(step, move, event.unfencedEngines, context.now),
         leased,
       );
     case 'weights-answered':
--- a/packages/placement/src/PlacementPlan.ts
+++ b/packages/placement/src/PlacementPlan.ts
@@ -7,7 +7,7 @@
 import { createGoals } from './PlacementGoals.js';
 import { findIslands } from './PlacementIslands.js';
 import { createKeptLayout, keepHoldings } from './PlacementKept.js';
-import { chooseMoves, createTargets, isAnyShort, isSameRange } from './PlacementMoves.js';
+import { chooseMoves, createTargets, isAnyBelowMinimum, isSameRange } from './PlacementMoves.js';
 import { getColumnRates, scoreLayout } from './PlacementScore.js';
 import type {
   Layout,
@@ -46,7 +46,7 @@
   const reloads = countReloads(fresh) - countReloads(kept);
   const usable = state.engines.filter(({ isUsable }) => isUsable).length;
   const reloadCost = (RELOAD_COST * Math.max(0, reloads)) / Math.max(1, usable);
-  const needed = isAnyShort(state, goals) ? RESTORE_GAIN : FRESH_GAIN + reloadCost;
+  const needed = isAnyBelowMinimum(state, goals) ? RESTORE_GAIN : FRESH_GAIN + reloadCost;
   return scoreLayout(goals, fresh) > scoreLayout(goals, kept) + needed ? fresh : kept;
 }
 
--- a/packages/placement/src/PlacementRanges.ts
+++ b/packages/placement/src/PlacementRanges.ts
@@ -23,9 +23,9 @@
 export type RangePlan = ReadonlyMap<EngineId, LayerRange>;
 
 /** Weights may take this part of an engine's memory: without KV cache it could serve no request. */
-export const MOST_WEIGHTS = 0.85;
+export const MAX_WEIGHT_SHARE = 0.85;
 /** A mended gap may leave an engine with so little KV cache, as a part of its memory, for a while. */
-export const MOST_WEIGHTS_IN_NEED = 0.8;
+export const MAX_GAP_WEIGHT_SHARE = 0.8;
 /**
  * How much more KV cache the tightest engine must get for a whole domain to be cut anew. Chains through
  * layers that are being given up are refused until the answers there have ended, eight seconds under load,
@@ -61,7 +61,7 @@
     return filled;
   }
   const whole: LayerRange = { first: 0, end: model.layers };
-  const fresh = splitByMemory(placeSpares(sorted, model), whole, model);
+  const fresh = partitionByMemory(placeSpares(sorted, model), whole, model);
   if (fresh === null) {
     return null;
   }
@@ -138,7 +138,7 @@
 ): RangePlan | null {
   for (let reach = 1; reach <= holders.length; reach++) {
     const window = selectWindow(holders, gap, reach);
-    const plan = window && splitByMemory(window.engines, window.range, model);
+    const plan = window && partitionByMemory(window.engines, window.range, model);
     if (window && plan && getRoom(window.engines, plan, model) >= leastRoom) {
       return plan;
     }
@@ -202,7 +202,7 @@
   for (const gap of findGaps(sorted, model)) {
     const bytes = (gap.end - gap.first) * model.layerBytes;
     const fitting = spares
-      .filter(({ id, memoryBytes }) => !plan.has(id) && bytes <= MOST_WEIGHTS_IN_NEED * memoryBytes)
+      .filter(({ id, memoryBytes }) => !plan.has(id) && bytes <= MAX_GAP_WEIGHT_SHARE * memoryBytes)
       .sort((a, b) => a.memoryBytes - b.memoryBytes || compareIds(a, b));
     const [spare] = fitting;
     if (!spare) {
@@ -229,14 +229,14 @@
 }
 
 /** Cuts a range of layers in the order given, by memory; null if these engines cannot hold it. */
-export function splitByMemory(
+export function partitionByMemory(
   order: readonly RangeEngine[],
   range: LayerRange,
   model: RangeModel,
 ): RangePlan | null {
   const layers = range.end - range.first;
   const most = order.map(({ memoryBytes }) =>
-    Math.floor((MOST_WEIGHTS * memoryBytes) / model.layerBytes),
+    Math.floor((MAX_WEIGHT_SHARE * memoryBytes) / model.layerBytes),
   );
   const total = order.reduce((sum, { memoryBytes }) => sum + memoryBytes, 0);
   if (most.reduce((sum, count) => sum + count, 0) < layers) {
--- a/packages/placement/src/PlacementRunner.ts
+++ b/packages/placement/src/PlacementRunner.ts
@@ -213,7 +213,7 @@
       // An engine that loads something else drops what runs on it: its answers would go on elsewhere,
       // or nowhere, where it was the last to hold their version.
       moves: plan.moves.filter(({ engine }) => deps.isReadyForOrder?.(engine) ?? true),
-      unchecking: new Set(unchecking.map(({ facts }) => facts.id)),
+      unfencedEngines: new Set(unchecking.map(({ facts }) => facts.id)),
     });
   }
 
--- a/packages/placement/src/PlacementSteps.ts
+++ b/packages/placement/src/PlacementSteps.ts
@@ -5,7 +5,7 @@
  */
 import type { LayerRange } from '@skylarksail/core/CoreTypes';
 import type { RangeEngine, RangeModel } from './PlacementRanges.js';
-import { findGaps, MOST_WEIGHTS } from './PlacementRanges.js';
+import { findGaps, MAX_WEIGHT_SHARE } from './PlacementRanges.js';
 
 /**
  * What an engine should be ordered to hold next on its way to `goal`; null if it is to wait for others.
@@ -33,7 +33,7 @@
   const isTouching = held.first <= goal.end && goal.first <= held.end;
   if (
     isTouching &&
-    (both.end - both.first) * model.layerBytes <= MOST_WEIGHTS * engine.memoryBytes
+    (both.end - both.first) * model.layerBytes <= MAX_WEIGHT_SHARE * engine.memoryBytes
   ) {
     return isSameRange(both, held) ? null : both;
   }
--- a/packages/placement/src/PlacementTypes.ts
+++ b/packages/placement/src/PlacementTypes.ts
@@ -65,7 +65,7 @@
 
 export type MoveReasonName = (typeof MoveReason)[keyof typeof MoveReason];
 
-export const MOVE_ORDER: readonly MoveReasonName[] = [
+export const MOVE_REASONS_BY_URGENCY: readonly MoveReasonName[] = [
   MoveReason.Restore,
   MoveReason.Adapters,
   MoveReason.Join,
--- a/packages/placement/src/PlacementVersions.ts
+++ b/packages/placement/src/PlacementVersions.ts
@@ -44,7 +44,7 @@
 }
 
 /** The version to route one request to: `draw` in [0, 1) chooses by share. Null if none can be served. */
-export function getServableVersion(
+export function chooseServableVersion(
   versions: readonly ServableVersion[],
   draw: number,
 ): VersionId | null {
--- a/packages/placement/src/__tests__/PlacementBed.ts
+++ b/packages/placement/src/__tests__/PlacementBed.ts
@@ -260,7 +260,7 @@
         manifests.set(instance, next);
       }
     },
-    setNumber(engine: EngineId, number: number) {
+    setHighestOrderNumber(engine: EngineId, number: number) {
       getState(engine).highest = number;
     },
     holdOrders(instance: string) {
--- a/packages/placement/src/__tests__/PlacementFixtures.ts
+++ b/packages/placement/src/__tests__/PlacementFixtures.ts
@@ -101,7 +101,7 @@
 }
 
 /** The state with an engine's holding replaced. */
-export function hold(
+export function setHolding(
   state: PlacementState,
   id: string,
   holding: Holding | null,
@@ -114,19 +114,19 @@
 }
 
 /** The state once every target is reached. */
-export function reach(state: PlacementState, plan: PlacementPlan): PlacementState {
-  return [...plan.targets].reduce((next, [id, want]) => hold(next, id, want), state);
+export function applyTargets(state: PlacementState, plan: PlacementPlan): PlacementState {
+  return [...plan.targets].reduce((next, [id, want]) => setHolding(next, id, want), state);
 }
 
 /** The state in which a move has been sent: the engine loads and serves nothing. */
 export function startMove(state: PlacementState, move: PlacementMove): PlacementState {
-  return hold(state, move.engine, null, move.want);
+  return setHolding(state, move.engine, null, move.want);
 }
 
 /** The state in which an engine that loads is done. */
 export function finishMove(state: PlacementState, id: string): PlacementState {
   const engine = state.engines.find(({ facts }) => facts.id === id);
-  return hold(state, id, engine?.expected ?? null);
+  return setHolding(state, id, engine?.expected ?? null);
 }
 
 export function setUsable(state: PlacementState, id: string, isUsable: boolean): PlacementState {
--- a/packages/placement/src/__tests__/PlacementMeasure.ts
+++ b/packages/placement/src/__tests__/PlacementMeasure.ts
@@ -12,7 +12,7 @@
   createEngines,
   createManifest,
   createModel,
-  reach,
+  applyTargets,
   setUsable,
 } from './PlacementFixtures.js';
 
@@ -67,13 +67,16 @@
 
 function measure(name: string, state: PlacementState): void {
   const empty = time(() => planPlacement(state));
-  const placed = reach(state, empty.value);
+  const placed = applyTargets(state, empty.value);
   const again = time(() => planPlacement(placed));
   const losses = placed.engines.slice(0, 40).map(({ facts }) => {
     const lost = setUsable(placed, facts.id, false);
     const { value: plan, ms } = time(() => planPlacement(lost));
     const moves = [...plan.moves, ...plan.blocked];
-    const after = reach(lost, { ...plan, targets: new Map(plan.targets).set(facts.id, null) });
+    const after = applyTargets(lost, {
+      ...plan,
+      targets: new Map(plan.targets).set(facts.id, null),
+    });
     return { moves: moves.length, ratio: getFlow(after) / getBound(lost), ms };
   });
   const joined = { ...placed, engines: [...placed.engines, createEngine('zz', 'medium')] };
--- a/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import type { CopyPatience } from '../../PlacementCopies.js';
+import type { PermittedChanges } from '../../PlacementCopies.js';
 import { hasCopies, planCopies } from '../../PlacementCopies.js';
 import type { RangeEngine } from '../../PlacementRanges.js';
 import { findGaps } from '../../PlacementRanges.js';
@@ -14,17 +14,17 @@
 } from '../GroupFixtures.js';
 
 const MOST_COPIES = 8;
-const AT_ONCE: CopyPatience = {
-  mayMend: false,
-  mayCutAnew: false,
+const AT_ONCE: PermittedChanges = {
+  mayReassign: false,
+  mayRebuild: false,
   mayBalance: false,
-  mayRecut: false,
+  mayRepartition: false,
 };
-const IN_NEED: CopyPatience = {
-  mayMend: true,
-  mayCutAnew: true,
+const IN_NEED: PermittedChanges = {
+  mayReassign: true,
+  mayRebuild: true,
   mayBalance: true,
-  mayRecut: false,
+  mayRepartition: false,
 };
 
 function plan(engines: readonly RangeEngine[], patience = AT_ONCE) {
@@ -89,7 +89,7 @@
     // Sequence: engines crash together, so that no few of those left can take their layers; they are back,
     // empty, four seconds later.
     // Cause: the domain was cut anew 0.3 s after they were found silent, which ends all of its answers.
-    const early = { ...IN_NEED, mayCutAnew: false };
+    const early = { ...IN_NEED, mayRebuild: false };
     const placed = createPlaced([72, 36, 36, 36, 36, 36, 14.4, 14.4]);
     const listMissing = (engines: readonly RangeEngine[]): readonly number[] =>
       Array.from({ length: GROUP_MODEL.layers }, (_, layer) => layer).filter(
--- a/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
@@ -270,7 +270,7 @@
     const bed = createPlaced(true);
     bed.start('a');
     await bed.run(60_000);
-    bed.setNumber('e002', Number.MAX_SAFE_INTEGER);
+    bed.setHighestOrderNumber('e002', Number.MAX_SAFE_INTEGER);
     bed.addEngine(createEngine('new', 'medium'));
     bed.crash('e001');
     await bed.run(100_000);
--- a/packages/placement/src/__tests__/unit/PlacementPlan.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementPlan.test.ts
@@ -4,7 +4,7 @@
 import { planPlacement } from '../../PlacementPlan.js';
 import type { PlacementState } from '../../PlacementTypes.js';
 import { MoveReason } from '../../PlacementTypes.js';
-import { getServableVersion, getServableVersions } from '../../PlacementVersions.js';
+import { chooseServableVersion, getServableVersions } from '../../PlacementVersions.js';
 import type { KindName, ManifestOptions } from '../PlacementFixtures.js';
 import {
   createEngine,
@@ -12,9 +12,9 @@
   createManifest,
   createModel,
   finishMove,
-  hold,
+  setHolding,
   KINDS,
-  reach,
+  applyTargets,
   setUsable,
   startMove,
 } from '../PlacementFixtures.js';
@@ -95,7 +95,7 @@
   const versions = model ? getServableVersions(model, minimum, engines) : [];
   const served = versions.reduce((sum, { tokensPerSecond }) => sum + tokensPerSecond, 0);
   expect(served).to.be.at.least(minimum * 0.999);
-  expect(getServableVersion(versions, 0.999)).to.not.equal(null);
+  expect(chooseServableVersion(versions, 0.999)).to.not.equal(null);
 }
 
 describe('planPlacement', () => {
@@ -108,7 +108,7 @@
     it(`comes near the bound of the hardware and rests there: ${name}`, () => {
       const state = createState(count, kinds, options);
       expect(getRatio(state)).to.be.above(0.95);
-      const reached = reach(state, planPlacement(state));
+      const reached = applyTargets(state, planPlacement(state));
       expect(planPlacement(reached).moves).to.deep.equal([]);
       expect(planPlacement(reached).blocked).to.deep.equal([]);
     });
@@ -138,7 +138,7 @@
     // Symptom: the loss of one engine reloads the domain. Sequence: an engine dies; the plan is made
     // anew; the best cut is another one. Cause: a plan that does not weigh what its moves cost.
     const first = createState(16, CASCADE);
-    const state = reach(first, planPlacement(first));
+    const state = applyTargets(first, planPlacement(first));
     const moves = state.engines.map(({ facts }) => {
       const lost = setUsable(state, facts.id, false);
       const plan = planPlacement(lost);
@@ -168,7 +168,7 @@
       const minTokensPerSecond = share * (planPlacement(bare).capacities.get('writer') ?? 0);
       const serves = [{ model: 'writer', minTokensPerSecond, weight: 1 }];
       const old = createState(28, SAFFRON, { models, serves });
-      const held = reach(old, planPlacement(old));
+      const held = applyTargets(old, planPlacement(old));
       const next = createManifest({ models: [{ ...WRITER, serve: 'v2' }], serves, revision: 2 });
       const { state, moves } = runMoves({ ...held, manifest: next }, 1, (now) =>
         checkServed(now, minTokensPerSecond),
@@ -185,7 +185,7 @@
     const models = [WRITER];
     const serves = [{ model: 'writer', minTokensPerSecond: 1500, weight: 1 }];
     const old = createState(15, SAFFRON, { models, serves });
-    const held = reach(old, planPlacement(old));
+    const held = applyTargets(old, planPlacement(old));
     const manifest = createManifest({ models: [{ ...WRITER, serve: 'v2' }], serves, revision: 2 });
     for (let seed = 0; seed < 20; seed++) {
       const random = createRandom(seed);
@@ -193,7 +193,7 @@
       runMoves({ ...held, manifest }, seed, (now) => seen.push(now));
       const midway = seen[random.nextInt(seen.length)] as PlacementState;
       const dead = midway.engines[random.nextInt(15)]?.facts.id ?? '';
-      const lost = hold(setUsable(midway, dead, false), dead, null);
+      const lost = setHolding(setUsable(midway, dead, false), dead, null);
       const after = runMoves(lost, seed, () => undefined).state;
       expect(getCapacity(after, 'writer')).to.be.at.least(1500);
       const live = after.engines.filter(({ facts }) => facts.id !== dead);
@@ -209,7 +209,7 @@
     const models = [WRITER];
     const serves = [{ model: 'writer', minTokensPerSecond: 1000, weight: 1 }];
     const old = createState(14, SAFFRON, { models, serves });
-    const held = reach(old, planPlacement(old));
+    const held = applyTargets(old, planPlacement(old));
     const manifest = createManifest({
       models: [{ ...WRITER, serve: 'v2', adapters: ['a1', 'a2'] }],
       serves,
@@ -234,7 +234,7 @@
 
   it('adds adapters without loading a layer', () => {
     const first = createState(14, SAFFRON);
-    const held = reach(first, planPlacement(first));
+    const held = applyTargets(first, planPlacement(first));
     const models = [{ ...WRITER, adapters: ['a1', 'a2'] }, NOTES];
     const { state, moves } = runMoves(
       { ...held, manifest: createManifest({ models, revision: 2 }) },
@@ -253,7 +253,7 @@
 
   it('uses an engine that joins, and no engine that cannot hold a layer', () => {
     const first = createState(14, SAFFRON);
-    const held = reach(first, planPlacement(first));
+    const held = applyTargets(first, planPlacement(first));
     const tiny = createEngine('tiny', 'medium');
     const state = {
       ...held,
--- a/packages/proof/src/__tests__/unit/ClaimModel.test.ts
+++ b/packages/proof/src/__tests__/unit/ClaimModel.test.ts
@@ -6,7 +6,7 @@
   DEFAULT_SLOT_SETTINGS,
   SlotPhase,
   type ClaimSlotState,
-  type SlotAsk,
+  type SlotClaimRequest,
   type SlotEffect,
   type SlotEvent,
 } from '@skylarksail/claims/ClaimSlotTypes';
@@ -45,7 +45,7 @@
   readonly stored: SlotHead[];
 }
 
-function createAsk(asker: number, deadline: number): SlotAsk {
+function createAsk(asker: number, deadline: number): SlotClaimRequest {
   return { askId: `r#${asker}/1`, keyHash: 'key', fingerprint: 'f', stamp: null, deadline };
 }
 
--- a/packages/proof/src/__tests__/unit/OrdersModel.test.ts
+++ b/packages/proof/src/__tests__/unit/OrdersModel.test.ts
@@ -93,7 +93,7 @@
 /** Lets the machine look at its lease and at the time, and do nothing else. */
 function look(replay: Replay, o: number, change: Partial<OrdersContext>): void {
   replay.contexts.set(o, { ...getContext(replay, o), ...change });
-  step(replay, o, { kind: 'planned', moves: [], unchecking: new Set() });
+  step(replay, o, { kind: 'planned', moves: [], unfencedEngines: new Set() });
 }
 
 function runStep(replay: Replay, name: string, [o = 0, a = 0, b = 0, c = 0]: number[]): void {
@@ -125,7 +125,7 @@
       const want = createHolding(o + 1);
       const move = { engine: ENGINE, want, reason: 'join', bytes: 0 } as const;
       const unchecking = new Set(replay.isChecking ? [] : [ENGINE]);
-      step(replay, o, { kind: 'planned', moves: [move], unchecking });
+      step(replay, o, { kind: 'planned', moves: [move], unfencedEngines: unchecking });
       const sent = replay.effects.find((effect) => effect.kind === 'send-order');
       expect(sent?.order.number, 'the machine sends where the specification does').to.equal(
         toCoreNumber(a),
--- a/packages/relay/src/RelayCatalogue.ts
+++ b/packages/relay/src/RelayCatalogue.ts
@@ -4,14 +4,14 @@
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis, ServiceId, Unregister } from '@skylarksail/core/CoreTypes';
-import { getServerOf, isEarlierLife } from './RelayLives.js';
+import { getServerName, isEarlierIncarnation } from './RelayIncarnations.js';
 import type { BackendEntry } from './RelayTypes.js';
 
 /**
  * Time after the store's return within which a living server's entry is back, as the platform says.
  * Without it, all servers would be taken for gone at once when an outage ends.
  */
-export const RETURN_TIME: Millis = 2000;
+export const LAPSED_ENTRY_GRACE: Millis = 2000;
 
 export interface Catalogue {
   /** Takes an entry in, unless it tells of a life that ended before the one that is known. */
@@ -83,7 +83,7 @@
   /** A late word of a life that is over would bring back the layers that ended with it. */
   function isLate(entry: BackendEntry): boolean {
     const known = getKnown(entry.server);
-    return known !== null && isEarlierLife(entry, known);
+    return known !== null && isEarlierIncarnation(entry, known);
   }
 
   /** By then every living server has written to the store again, and its entry says more than we saw. */
@@ -121,8 +121,8 @@
     },
     listObserved: () => [...sightings.values()],
     noteStoreRegained() {
-      returnUntil = timers.now() + RETURN_TIME;
-      timers.registerTimeout(RETURN_TIME, forgetSightings);
+      returnUntil = timers.now() + LAPSED_ENTRY_GRACE;
+      timers.registerTimeout(LAPSED_ENTRY_GRACE, forgetSightings);
     },
     list() {
       listed ??= [...new Map([...entries, ...sightings]).values()].filter(({ service }) =>
@@ -134,7 +134,7 @@
       listed = null;
     },
     get(id) {
-      const known = getKnown(getServerOf(id));
+      const known = getKnown(getServerName(id));
       return known?.id === id && isServed(known.service) ? known : null;
     },
     registerListener(listener) {
--- a/packages/relay/src/RelayCoverage.ts
+++ b/packages/relay/src/RelayCoverage.ts
@@ -25,7 +25,7 @@
 }
 
 /** The returned function looks at the catalogue as it is now, and tells of what has changed since. */
-export function createCoverage(options: RelayCoverageOptions): () => void {
+export function createCoverageCheck(options: RelayCoverageOptions): () => void {
   const { domain, catalogue, getTable, onChange } = options;
   const known = new Map<ServiceId, number>();
 
--- a/packages/relay/src/RelayEngines.ts
+++ b/packages/relay/src/RelayEngines.ts
@@ -11,7 +11,7 @@
 import type { ExpectedWork } from './RelayFacts.js';
 import { createEngineFacts, createEngineLoad } from './RelayFacts.js';
 import type { BackendEntry } from './RelayTypes.js';
-import type { EngineWork, OthersWork } from './RelayWork.js';
+import type { EngineWork, PeerWork } from './RelayWork.js';
 
 export interface RelayEnginesOptions {
   readonly domain: DomainId;
@@ -22,7 +22,7 @@
   /** Live instances of the own failure domain, this one included. */
   readonly countOwnInstances: () => number;
   /** Work of the other instances of the own failure domain on an engine; null if it is not known. */
-  readonly getOthersWork: (engine: EngineId) => OthersWork | null;
+  readonly getOthersWork: (engine: EngineId) => PeerWork | null;
 }
 
 /** How often the work on engines is reckoned anew: as often as others' is heard of. */
@@ -86,7 +86,7 @@
   }
 
   /** What others told of, or, where nobody did, as much for each of them as we have: callers spread over all. */
-  function countWork(entry: BackendEntry, instances: number): OthersWork {
+  function countWork(entry: BackendEntry, instances: number): PeerWork {
     const own = getOwnWork(routing.getState(), entry.id);
     const others = options.getOthersWork(entry.id);
     return others === null
--- a/packages/relay/src/RelayGrants.ts
+++ b/packages/relay/src/RelayGrants.ts
@@ -27,7 +27,7 @@
   readonly poolSize: number;
   readonly listInstances: () => readonly InstanceEntry[];
   /** Whether this instance hears who is there. */
-  readonly isHearing: () => boolean;
+  readonly isCurrent: () => boolean;
   readonly askGrant: AskGrant;
 }
 
@@ -43,7 +43,7 @@
 }
 
 /** A broken answer is moved within a second, or its caller leaves; what was not used by then is lent anew. */
-export const GRANT_TIME: Millis = 2000;
+export const GRANT_LIFETIME: Millis = 2000;
 /**
  * An instance that becomes the granter waits so long beyond a window, as it does not know what the one before it has
  * granted, nor when that one hears of its successor.
@@ -80,21 +80,21 @@
 
   function observe(): void {
     const granter = findGranter(options.listInstances(), self.domain);
-    const isGranter = granter?.id === self.id && options.isHearing();
+    const isGranter = granter?.id === self.id && options.isCurrent();
     granterSince = isGranter ? (granterSince ?? timers.now()) : null;
   }
 
   function mayGrant(): boolean {
     observe();
     const since = granterSince ?? Infinity;
-    return timers.now() - since >= window + GRANT_TIME + SUCCESSION_TIME;
+    return timers.now() - since >= window + GRANT_LIFETIME + SUCCESSION_TIME;
   }
 
   function grant(service: string, wanted: number): number {
     if (!mayGrant()) {
       return 0;
     }
-    const recent = selectSince(lent.get(service), timers.now() - window - GRANT_TIME);
+    const recent = selectSince(lent.get(service), timers.now() - window - GRANT_LIFETIME);
     const granted = Math.max(0, Math.min(wanted, Math.floor(poolSize - sumGrants(recent))));
     lent.set(service, granted > 0 ? [...recent, { count: granted, at: timers.now() }] : recent);
     return granted;
@@ -121,7 +121,7 @@
   }
 
   function selectHeld(service: string): readonly Grant[] {
-    return selectSince(held.get(service), timers.now() - GRANT_TIME);
+    return selectSince(held.get(service), timers.now() - GRANT_LIFETIME);
   }
 
   return {
--- a/packages/relay/src/RelayHealth.ts
+++ b/packages/relay/src/RelayHealth.ts
@@ -10,7 +10,7 @@
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { OpenEngineCall } from '@skylarksail/requests/RequestPorts';
 import type { Catalogue } from './RelayCatalogue.js';
-import { createLifeId } from './RelayLives.js';
+import { createIncarnationId } from './RelayIncarnations.js';
 import type { BackendProbePort, HealthAnswer } from './RelayPorts.js';
 import type { BackendEntry } from './RelayTypes.js';
 
@@ -20,10 +20,10 @@
   readonly catalogue: Catalogue;
   readonly port: BackendProbePort;
   /** Whether neither the store nor a peer that hears it can be reached. */
-  readonly isBlind: () => boolean;
+  readonly isIsolated: () => boolean;
   /** An engine answered in the life that calls failed at: it did not crash under them. */
-  readonly onWell: (engine: EngineId) => void;
-  readonly onSeen: (seen: {
+  readonly onHealthy: (engine: EngineId) => void;
+  readonly onUnhealthy: (seen: {
     readonly engine: EngineId;
     readonly health: HealthAnswer['kind'];
     readonly misses: number;
@@ -62,7 +62,7 @@
 const SILENCE: Millis = 300;
 
 export function createRelayHealth(options: RelayHealthOptions): RelayHealth {
-  const { timers, domain, catalogue, port, isBlind } = options;
+  const { timers, domain, catalogue, port, isIsolated: isBlind } = options;
   const suspects = new Map<EngineId, Suspect>();
   /** Until when engines that answered well are not suspected again. */
   const cleared = new Map<EngineId, Millis>();
@@ -107,7 +107,7 @@
     const misses = (suspects.get(entry.id)?.misses ?? 0) + 1;
     const isFound = misses >= (health.kind === 'leaving' ? MISSES_TO_LEAVE : MISSES_TO_END);
     suspects.set(entry.id, { misses, dueAt: isFound ? now + ASK_PAUSE : now });
-    options.onSeen({ engine: entry.id, health: health.kind, misses });
+    options.onUnhealthy({ engine: entry.id, health: health.kind, misses });
     if (isFound) {
       takeLeaving(entry);
     }
@@ -115,7 +115,7 @@
 
   function takeWell(entry: BackendEntry, id: EngineId): void {
     if (id === entry.server) {
-      options.onWell(entry.id);
+      options.onHealthy(entry.id);
       // Its entry may have told since that it leaves or holds other layers: the answer is older than that.
       if (catalogue.get(entry.id) === entry) {
         catalogue.observe({ ...entry, state: LifeState.Live });
@@ -126,7 +126,7 @@
     takeLeaving(entry);
     if (isBlind() && catalogue.get(id) === null) {
       const life = { server: id, born: null };
-      const fresh = { ...entry, ...life, id: createLifeId(life), layers: null };
+      const fresh = { ...entry, ...life, id: createIncarnationId(life), layers: null };
       catalogue.observe({ ...fresh, state: LifeState.Live });
     }
   }
@@ -142,7 +142,12 @@
     if (status !== null && isBlind()) {
       const latest = catalogue.get(entry.id) ?? entry;
       const life = { server: entry.server, born: status.born ?? latest.born };
-      catalogue.observe({ ...latest, ...life, id: createLifeId(life), layers: status.layers });
+      catalogue.observe({
+        ...latest,
+        ...life,
+        id: createIncarnationId(life),
+        layers: status.layers,
+      });
     }
   }
 
--- a/packages/relay/src/RelayIntake.ts
+++ b/packages/relay/src/RelayIntake.ts
@@ -24,10 +24,10 @@
   readonly router: RequestRouter;
   readonly getTable: () => RouteTable | null;
   /** Time since this instance last knew all that the store held. */
-  readonly getNewsAge: () => Millis;
+  readonly getStaleness: () => Millis;
   /** Time after its acknowledgement in which a change is to be in force everywhere. */
   readonly changeTime: Millis;
-  readonly confirmNews: ConfirmCurrent;
+  readonly confirmCurrent: ConfirmCurrent;
   readonly onDecision: (decision: {
     readonly request: string;
     readonly decision: string;
@@ -94,7 +94,15 @@
 const NO_HANDLE: RequestHandle = { cancel: () => undefined };
 
 export function createRelayIntake(options: RelayIntakeOptions): RelayIntake {
-  const { timers, random, router, getTable, getNewsAge, confirmNews, onDecision } = options;
+  const {
+    timers,
+    random,
+    router,
+    getTable,
+    getStaleness: getNewsAge,
+    confirmCurrent: confirmNews,
+    onDecision,
+  } = options;
   const longestNewsAge = Math.max(0, options.changeTime - NEWS_AGE_ERROR);
 
   function refuse(
@@ -256,7 +264,7 @@
             reason: problem.kind,
             ...times.read(route),
           });
-          listener.onBroken();
+          listener.onAborted();
         } else {
           refuse(call, listener, toRefusal(problem));
         }
--- a/packages/relay/src/RelayLease.ts
+++ b/packages/relay/src/RelayLease.ts
@@ -18,7 +18,7 @@
   readonly random: Random;
   readonly self: InstanceEntry;
   /** Shortest lease that the store grants. */
-  readonly leaseLeast: Millis;
+  readonly minLeaseTime: Millis;
   /** Failure domains whose placement is a duty. */
   readonly listDomains: () => readonly DomainId[];
   readonly onError: (what: string) => void;
@@ -26,7 +26,7 @@
 
 export interface RelayLease {
   /** Takes in a change of one of our own keys. */
-  takeEvent(event: StoreEvent): void;
+  applyEvent(event: StoreEvent): void;
   /** Whether this instance may act on a domain's placement now. */
   holds(domain: DomainId): boolean;
   /** Who held a domain's placement when the store last told of it; null if nobody. */
@@ -39,9 +39,9 @@
 }
 
 /** Everything that the relay itself keeps in the store begins so. */
-export const OWN_PREFIX = 'skylarksail/';
-const INSTANCES = `${OWN_PREFIX}instances/`;
-const PLACEMENT = `${OWN_PREFIX}placement/`;
+export const RELAY_KEY_PREFIX = 'skylarksail/';
+const INSTANCES = `${RELAY_KEY_PREFIX}instances/`;
+const PLACEMENT = `${RELAY_KEY_PREFIX}placement/`;
 
 /**
  * How long the duties of a dead instance stand. Shorter, and a pause of a second would cost them; longer, and
@@ -71,7 +71,7 @@
 const JITTER_SHARE = 0.3;
 
 export function createRelayLease(options: RelayLeaseOptions): RelayLease {
-  const { port, timers, random, self, leaseLeast } = options;
+  const { port, timers, random, self, minLeaseTime: leaseLeast } = options;
   const callOptions = { timeout: CALL_TIMEOUT };
   const keys = new Map<string, Pick<StoreItem, 'value' | 'revision'>>();
   /** Read from `keys` when they have changed: parsing 64 entries for each engine took a quarter of all time. */
@@ -85,19 +85,19 @@
     timers,
     random,
     time: Math.max(ENTRY_LEASE_TIME, leaseLeast),
-    keepPeriod: ENTRY_KEEP_PERIOD,
+    renewPeriod: ENTRY_KEEP_PERIOD,
     onGranted: register,
-    isWanted: () => true,
+    isNeeded: () => true,
   });
   const dutyLease = createLeaseKeeper({
     port,
     timers,
     random,
     time: Math.max(DUTY_LEASE_TIME, leaseLeast),
-    keepPeriod: DUTY_KEEP_PERIOD,
+    renewPeriod: DUTY_KEEP_PERIOD,
     onGranted: () => Promise.resolve(true),
     // The word that a claim has won comes back with the store's news, some hundred milliseconds later.
-    isWanted: () =>
+    isNeeded: () =>
       timers.now() - claimedAt < DUTY_LEASE_TIME || options.listDomains().some(isOwned),
   });
 
@@ -155,7 +155,7 @@
     }
     const since = vacantSince.get(domain) ?? timers.now();
     vacantSince.set(domain, since);
-    if (!isForeign(domain) && entryLease.isSafe() && timers.now() - since >= getTurn(domain)) {
+    if (!isForeign(domain) && entryLease.isValid() && timers.now() - since >= getTurn(domain)) {
       vacantSince.set(domain, timers.now());
       await take(key);
     }
@@ -164,8 +164,8 @@
   async function take(key: string): Promise<void> {
     claimedAt = timers.now();
     await dutyLease.start();
-    const lease = dutyLease.getId();
-    if (lease !== null && dutyLease.isSafe()) {
+    const lease = dutyLease.getLeaseId();
+    if (lease !== null && dutyLease.isValid()) {
       await port.write([{ key, revision: 0 }], [{ key, value: self.id, lease }], [], callOptions);
     }
   }
@@ -184,7 +184,7 @@
   }
 
   return {
-    takeEvent(event) {
+    applyEvent(event) {
       known = null;
       if (event.kind === 'written') {
         keys.set(event.item.key, event.item);
@@ -195,7 +195,7 @@
         }
       }
     },
-    holds: (domain) => dutyLease.isSafe() && isOwned(domain) && !isForeign(domain),
+    holds: (domain) => dutyLease.isValid() && isOwned(domain) && !isForeign(domain),
     getLastHolder: (domain) => keys.get(`${PLACEMENT}${domain}`)?.value ?? null,
     listInstances: listKnown,
     start() {
--- a/packages/relay/src/RelayLeaseKeeper.ts
+++ b/packages/relay/src/RelayLeaseKeeper.ts
@@ -11,20 +11,20 @@
   readonly random: Random;
   /** How long the lease stands without being renewed. */
   readonly time: Millis;
-  readonly keepPeriod: Millis;
+  readonly renewPeriod: Millis;
   /** Called with each new lease; what is to hang on it is written here. False gives the lease up. */
   readonly onGranted: (lease: number) => Promise<boolean>;
   /** Whether the lease is still wanted; one that is not is left to lapse. */
-  readonly isWanted: () => boolean;
+  readonly isNeeded: () => boolean;
 }
 
 export interface LeaseKeeper {
   /** Begins to keep a lease, unless one is kept already; resolves once it stands or was not granted. */
   start(): Promise<void>;
   /** Whether the lease stands, and will for a moment. */
-  isSafe(): boolean;
+  isValid(): boolean;
   /** The lease that stands now. */
-  getId(): number | null;
+  getLeaseId(): number | null;
   /** Ends the lease at once. */
   stop(): void;
 }
@@ -66,11 +66,11 @@
   }
 
   function schedule(): void {
-    timers.registerTimeout(jitter(random, options.keepPeriod, JITTER_SHARE), () => {
+    timers.registerTimeout(jitter(random, options.renewPeriod, JITTER_SHARE), () => {
       if (isStopped) {
         return;
       }
-      if (options.isWanted()) {
+      if (options.isNeeded()) {
         void keep().finally(schedule);
       } else {
         lease = null;
@@ -86,8 +86,8 @@
         await keep().finally(schedule);
       }
     },
-    isSafe: () => lease !== null && !isStopped && timers.now() < lease.safeUntil,
-    getId: () => lease?.id ?? null,
+    isValid: () => lease !== null && !isStopped && timers.now() < lease.safeUntil,
+    getLeaseId: () => lease?.id ?? null,
     stop() {
       isStopped = true;
       if (lease) {
--- a/packages/relay/src/RelayMetrics.ts
+++ b/packages/relay/src/RelayMetrics.ts
@@ -67,7 +67,7 @@
     [
       'blind',
       '1 while neither the store nor a peer that hears it answers',
-      () => Number(readState().isBlind),
+      () => Number(readState().isIsolated),
     ],
     ['ready', '1 while callers should be sent here', () => Number(parts.isReady())],
     ['requests_running', 'requests that run', () => router.getCounts().running],
--- a/packages/relay/src/RelayParts.ts
+++ b/packages/relay/src/RelayParts.ts
@@ -18,11 +18,11 @@
 import { createRequestRouter } from '@skylarksail/requests/RequestRouter';
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import type { StoreRangePort } from '@skylarksail/store/StoreRange';
-import { createRelayCalm } from './RelayCalm.js';
+import { createRelayPlannedWork } from './RelayPlannedWork.js';
 import type { Catalogue } from './RelayCatalogue.js';
 import { createCatalogue } from './RelayCatalogue.js';
 import { coalesce } from './RelayCoalesce.js';
-import { createCoverage } from './RelayCoverage.js';
+import { createCoverageCheck } from './RelayCoverage.js';
 import { createPlacementDuty } from './RelayDuty.js';
 import { createRelayEngines } from './RelayEngines.js';
 import { listModels } from './RelayFacts.js';
@@ -35,13 +35,13 @@
 import { startRelaySync } from './RelaySync.js';
 import { createRelayLease } from './RelayLease.js';
 import { createRelayPlacement } from './RelayPlacement.js';
-import type { RelayRepeats } from './RelayRepeats.js';
-import { createRelayRepeats } from './RelayRepeats.js';
+import type { RelayRetryBudget } from './RelayRetryBudget.js';
+import { createRelayRetryBudget } from './RelayRetryBudget.js';
 import { createUnreadableLog } from './RelayUnreadable.js';
 import { createBackendView } from './RelayView.js';
 import { createRelaySuspension } from './RelaySuspension.js';
 import { createServerChooser } from './RelayServers.js';
-import type { OthersWork, ToldWork } from './RelayWork.js';
+import type { PeerWork, WorkReport } from './RelayWork.js';
 import type { RelayBounds } from './RelayTuning.js';
 import { createRouterConfig, ROUTING_TUNING } from './RelayTuning.js';
 import type { InstanceEntry, ReadBackendKey, ReadContent } from './RelayTypes.js';
@@ -57,7 +57,7 @@
   /** Time after its acknowledgement in which a change is to be in force everywhere. */
   readonly changeTime: Millis;
   /** Shortest lease that the store grants. */
-  readonly leaseLeast: Millis;
+  readonly minLeaseTime: Millis;
   readonly timers: TimerService;
   /** Time of day, in ms. */
   readonly wallNow: () => Millis;
@@ -78,8 +78,8 @@
   readonly intake: RelayIntake;
   readonly router: RequestRouter;
   readonly peers: RelayPeers;
-  readonly news: RelayUpdates;
-  readonly repeats: RelayRepeats;
+  readonly updates: RelayUpdates;
+  readonly retries: RelayRetryBudget;
   getTable(): RouteTable | null;
   /** What the metrics show of this instance's knowledge. */
   readState(): RelayState;
@@ -103,7 +103,7 @@
   /** Failure domains whose layers this instance places. */
   readonly duties: number;
   /** Whether neither the store nor a peer that hears it can be reached. */
-  readonly isBlind: boolean;
+  readonly isIsolated: boolean;
   /** Time since this instance last knew all that the store held. */
   readonly newsAge: Millis;
 }
@@ -124,7 +124,7 @@
   let isLeaving = false;
   const catalogue = createCatalogue(timers, isServed);
   const suspension = createRelaySuspension(timers, options.wallNow);
-  const calm = createRelayCalm(timers, options.changeTime);
+  const calm = createRelayPlannedWork(timers, options.changeTime);
   const routing = createDaemonRouting({
     domain: self.domain,
     timers,
@@ -138,7 +138,7 @@
     timers,
     random,
     self,
-    leaseLeast: options.leaseLeast,
+    minLeaseTime: options.minLeaseTime,
     listDomains: () => listDomains(catalogue),
     onError: (what) => logger.warn({ what }, 'store'),
   });
@@ -170,7 +170,7 @@
     onUnreadable: createUnreadableLog(logger, metrics),
     onTable: (next) => {
       table = next;
-      calm.noteChange();
+      calm.noteConfigChange();
       catalogue.noteServicesChanged();
       routing.setFleetFacts({ models: listModels(next), tuning: ROUTING_TUNING });
       engines.refresh();
@@ -189,20 +189,20 @@
     domain: self.domain,
     catalogue,
     port: { readHealth: backends.readHealth, readStatus: backends.orders.readStatus },
-    isBlind: () => knowledge.peers.isIsolated(),
-    onWell: noteAlive,
-    onSeen: (seen) => {
+    isIsolated: () => knowledge.peers.isIsolated(),
+    onHealthy: noteAlive,
+    onUnhealthy: (seen) => {
       metrics.count(`health_${seen.health}`, `engines that answered ${seen.health} when asked`);
       logger.warn(seen, 'engine asked about its health');
     },
   });
-  const repeats = createRelayRepeats({
+  const repeats = createRelayRetryBudget({
     timers,
     self,
     bounds: options.bounds,
     domains: options.domains,
     listInstances: lease.listInstances,
-    isHearing: knowledge.updates.isCurrent,
+    isCurrent: knowledge.updates.isCurrent,
     askGrant: options.askGrant,
   });
   const router = createRequestRouter({
@@ -218,7 +218,7 @@
     links: routing.links,
     getRetryBurst: repeats.getBurst,
     requestRetries: repeats.request,
-    mayBreakOff: calm.isCalmFor,
+    mayBreakOff: calm.isUnaffected,
     getTeamLimits: () => ({ share: 1, queueLimit: TEAM_QUEUE }),
     getKvCapacity: () => null,
     getBootId: routing.getBootId,
@@ -232,9 +232,9 @@
     random,
     router,
     getTable: () => table,
-    getNewsAge: readNewsAge,
+    getStaleness: readNewsAge,
     changeTime: options.changeTime,
-    confirmNews: knowledge.confirmCurrent,
+    confirmCurrent: knowledge.confirmCurrent,
     onDecision: decisions.record,
   });
   const isPlacing = createPlacementDuty({
@@ -247,7 +247,7 @@
     timers,
     catalogue,
     getTable: () => table,
-    holds: isPlacing,
+    hasDuty: isPlacing,
     domains: options.domains,
     port: backends.orders,
     mostCopies: options.mostCopies,
@@ -275,7 +275,7 @@
     return timers.now() - age >= suspension.getResumedAt() ? age : Infinity;
   }
 
-  function readOwnWork(): ToldWork {
+  function readOwnWork(): WorkReport {
     return { running: engines.readOwnWork(), lost: health.listLost() };
   }
 
@@ -283,15 +283,15 @@
     router.noteEngineLost(engine);
   }
 
-  function getOthersWork(engine: EngineId): OthersWork | null {
-    return knowledge.work.getOthers(engine);
+  function getOthersWork(engine: EngineId): PeerWork | null {
+    return knowledge.work.getPeerWork(engine);
   }
 
   function countOwnInstances(): number {
     return lease.listInstances().filter(({ domain }) => domain === self.domain).length;
   }
 
-  const lookAtCoverage = createCoverage({
+  const lookAtCoverage = createCoverageCheck({
     domain: self.domain,
     catalogue,
     getTable: () => table,
@@ -316,8 +316,8 @@
     intake,
     router,
     peers: knowledge.peers,
-    news: knowledge.updates,
-    repeats,
+    updates: knowledge.updates,
+    retries: repeats,
     getTable: () => table,
     readState: () => ({
       version: table?.config.version ?? 0,
@@ -325,7 +325,7 @@
       backends: catalogue.list().length,
       observed: catalogue.listObserved().length,
       duties: listDomains(catalogue).filter(isPlacing).length,
-      isBlind: knowledge.peers.isIsolated(),
+      isIsolated: knowledge.peers.isIsolated(),
       newsAge: knowledge.updates.readState().age,
     }),
     isReady: () => table !== null && !isLeaving,
--- a/packages/relay/src/RelayPeerHttp.ts
+++ b/packages/relay/src/RelayPeerHttp.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { Agent } from 'undici';
 import { pack } from 'msgpackr';
-import { collectArrival, startArrival } from '@skylarksail/core/CoreArrival';
+import { collectResponseBody, startResponseTimeout } from '@skylarksail/core/CoreResponseTimeout';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { HostPort, Millis } from '@skylarksail/core/CoreTypes';
 import type { AskGrant } from './RelayGrants.js';
@@ -70,7 +70,7 @@
     timeout: Millis,
     body: Buffer | null = null,
   ): Promise<RawAnswer | null> {
-    const arrival = startArrival(timers, { begin: timeout, ...PEER_ANSWER_LIMITS });
+    const arrival = startResponseTimeout(timers, { begin: timeout, ...PEER_ANSWER_LIMITS });
     try {
       const res = await agent.request({
         origin: `http://${host}:${port}`,
@@ -80,7 +80,7 @@
         body,
         signal: arrival.signal,
       });
-      return { status: res.statusCode, body: await collectArrival(arrival, res.body) };
+      return { status: res.statusCode, body: await collectResponseBody(arrival, res.body) };
     } catch {
       return null;
     } finally {
--- a/packages/relay/src/RelayPeerMessages.ts
+++ b/packages/relay/src/RelayPeerMessages.ts
@@ -9,7 +9,7 @@
 import type { PeerUpdates } from './RelayPeers.js';
 import { FanoutLevel } from './RelayFanout.js';
 import type { BackendEntry } from './RelayTypes.js';
-import type { ToldWork } from './RelayWork.js';
+import type { WorkReport } from './RelayWork.js';
 
 const count = z.number().check(z.nonnegative());
 
@@ -90,7 +90,7 @@
   /** How long it delayed the answer, in ms. */
   readonly held: Millis;
   /** Work that other instances of the source's domain reported. */
-  readonly others: ToldWork;
+  readonly others: WorkReport;
 }
 
 /** Reads engines that a peer observed; throws if the message is invalid. */
--- a/packages/relay/src/RelayPlacement.ts
+++ b/packages/relay/src/RelayPlacement.ts
@@ -19,7 +19,7 @@
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import type { PipelineFacts, RoutedService } from '@skylarksail/routes/RouteTypes';
 import type { Catalogue } from './RelayCatalogue.js';
-import { createCutPatience } from './RelayPatience.js';
+import { createReplanDelays } from './RelayReplanDelays.js';
 import type { EngineStatus, RangeOrderAnswer, RangeOrderPort } from './RelayPorts.js';
 import type { BackendEntry } from './RelayTypes.js';
 
@@ -27,7 +27,7 @@
   readonly timers: TimerService;
   readonly catalogue: Catalogue;
   readonly getTable: () => RouteTable | null;
-  readonly holds: (domain: DomainId) => boolean;
+  readonly hasDuty: (domain: DomainId) => boolean;
   /** All failure domains of the deployment. */
   readonly domains: readonly DomainId[];
   readonly port: RangeOrderPort;
@@ -71,11 +71,11 @@
 const NO_GOAL: DomainGoal = new Map();
 
 export function createRelayPlacement(options: RelayPlacementOptions): RelayPlacement {
-  const { timers, catalogue, getTable, holds, port, mostCopies } = options;
+  const { timers, catalogue, getTable, hasDuty: holds, port, mostCopies } = options;
   const pending = new Map<EngineId, PendingOrder>();
   const paused = new Map<EngineId, Millis>();
   const goals = new Map<string, DomainGoal>();
-  const patience = createCutPatience(timers);
+  const patience = createReplanDelays(timers);
 
   function getGoal(key: string): DomainGoal {
     const goal: DomainGoal = goals.get(key) ?? new Map<EngineId, LayerRange>();
@@ -170,10 +170,10 @@
     const hasGap = findGaps(engines, pipeline).length > 0;
     const mayMend = patience.isGapDue(key, hasGap);
     const plan = planCopies(engines, pipeline, mostCopies, {
-      mayMend,
-      mayCutAnew: mayMend && patience.isLossBorne(key) && !isAwaiting(domain),
-      mayBalance: patience.isCalm(key),
-      mayRecut: !hasGap && mayTune(placed, domain),
+      mayReassign: mayMend,
+      mayRebuild: mayMend && patience.isLossGraceOver(key) && !isAwaiting(domain),
+      mayBalance: patience.isStable(key),
+      mayRepartition: !hasGap && mayTune(placed, domain),
     });
     plan?.forEach((range, id) => goal.set(id, range));
   }
@@ -194,7 +194,7 @@
    * time, the first that gains by it, and only while all others are whole.
    */
   function mayTune({ service, pipeline, byDomain }: PlacedService, domain: DomainId): boolean {
-    if (!patience.isCalm(getKey(service, domain))) {
+    if (!patience.isStable(getKey(service, domain))) {
       return false;
     }
     const views = [...byDomain].map(([name, entries]) => {
--- a/packages/relay/src/RelayCalm.ts
+++ b/packages/relay/src/RelayPlannedWork.ts
@@ -6,15 +6,15 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-export interface RelayCalm {
+export interface RelayPlannedWork {
   /** A configuration was put in force. */
-  noteChange(): void;
+  noteConfigChange(): void;
   /** The settings changed. */
   noteSettingsChange(): void;
   /** This instance stops. */
   noteStop(): void;
   /** Whether no planned work goes on that touches a request which was taken at `takenAt`. */
-  isCalmFor(takenAt: Millis): boolean;
+  isUnaffected(takenAt: Millis): boolean;
 }
 
 /** Answers that began before a change was in force everywhere last a second more. */
@@ -25,13 +25,13 @@
 const READING_TIME: Millis = 500;
 
 /** `changeTime` is the time after its acknowledgement in which a change is to be in force everywhere. */
-export function createRelayCalm(timers: TimerService, changeTime: Millis): RelayCalm {
+export function createRelayPlannedWork(timers: TimerService, changeTime: Millis): RelayPlannedWork {
   let calmFrom = -Infinity;
   /** Requests that were taken before are touched by a change of the settings, however long they last. */
   let settledFrom = -Infinity;
 
   return {
-    noteChange() {
+    noteConfigChange() {
       const time = ACKNOWLEDGEMENT_LAG + changeTime + AFTER_CHANGE;
       calmFrom = Math.max(calmFrom, timers.now() + time);
     },
@@ -41,6 +41,6 @@
     noteStop() {
       calmFrom = Infinity;
     },
-    isCalmFor: (takenAt) => timers.now() >= calmFrom && takenAt >= settledFrom,
+    isUnaffected: (takenAt) => timers.now() >= calmFrom && takenAt >= settledFrom,
   };
 }
--- a/packages/relay/src/RelayPorts.ts
+++ b/packages/relay/src/RelayPorts.ts
@@ -55,7 +55,7 @@
   /** Path that a service's backend servers answer about their health; null if it is not known. */
   getHealthPath(service: ServiceId): string | null;
   /** Connections that this instance may have to the backend server at an address. */
-  getMostConnections(address: HostPort): number;
+  getMaxConnections(address: HostPort): number;
 }
 
 /** The ways to backend servers, with sockets behind them. */
--- a/packages/relay/src/RelayPatience.ts
+++ b/packages/relay/src/RelayReplanDelays.ts
@@ -33,7 +33,7 @@
 }
 
 /** Patience with domains, each by its key. */
-export interface CutPatience {
+export interface ReplanDelays {
   /** Takes in a domain's engines as they are now. */
   observe(key: string, entries: readonly BackendEntry[]): void;
   /** Whether no engine has come or gone for a moment. */
@@ -41,12 +41,12 @@
   /** Whether missing layers were waited for long enough. */
   isGapDue(key: string, hasGap: boolean): boolean;
   /** Whether an engine that was unregistered has had its time to come back. */
-  isLossBorne(key: string): boolean;
+  isLossGraceOver(key: string): boolean;
   /** Whether nothing has changed for so long that a cut for more room is worth while. */
-  isCalm(key: string): boolean;
+  isStable(key: string): boolean;
 }
 
-export function createCutPatience(timers: TimerService): CutPatience {
+export function createReplanDelays(timers: TimerService): ReplanDelays {
   const memories = new Map<string, DomainMemory>();
 
   function getMemory(key: string): DomainMemory {
@@ -101,7 +101,7 @@
       const isComing = now - memory.addedAt < SETTLE_TIME;
       return gapSince !== null && !isComing && now - gapSince >= patience;
     },
-    isLossBorne: (key) => timers.now() - getMemory(key).goneAt >= GAP_PATIENCE,
-    isCalm: (key) => timers.now() - getMemory(key).changedAt >= TUNE_TIME,
+    isLossGraceOver: (key) => timers.now() - getMemory(key).goneAt >= GAP_PATIENCE,
+    isStable: (key) => timers.now() - getMemory(key).changedAt >= TUNE_TIME,
   };
 }
--- a/packages/relay/src/RelayRepeats.ts
+++ b/packages/relay/src/RelayRetryBudget.ts
@@ -5,10 +5,10 @@
 import { createRelayGrants } from './RelayGrants.js';
 import { createRetryShare } from './RelayRetryShare.js';
 import type { RelayBounds } from './RelayTuning.js';
-import { POOL_SHARE, RETRY_CAUTION } from './RelayTuning.js';
+import { POOL_SHARE, RETRY_SAFETY_FACTOR } from './RelayTuning.js';
 import type { InstanceEntry } from './RelayTypes.js';
 
-export interface RelayRepeatsOptions {
+export interface RelayRetryBudgetOptions {
   readonly timers: TimerService;
   readonly self: InstanceEntry;
   readonly bounds: RelayBounds;
@@ -16,11 +16,11 @@
   readonly domains: readonly DomainId[];
   readonly listInstances: () => readonly InstanceEntry[];
   /** Whether this instance hears who is there. */
-  readonly isHearing: () => boolean;
+  readonly isCurrent: () => boolean;
   readonly askGrant: AskGrant;
 }
 
-export interface RelayRepeats {
+export interface RelayRetryBudget {
   /** Repeats in a window at a service, beyond the share of this instance's own requests. */
   getBurst(service: string): number;
   /** Asks others for repeats at a service; hears whether any were lent. */
@@ -33,9 +33,9 @@
 /** How often the instances among which the slack is parted are counted anew. */
 const OBSERVE_PERIOD: Millis = 2000;
 
-export function createRelayRepeats(options: RelayRepeatsOptions): RelayRepeats {
+export function createRelayRetryBudget(options: RelayRetryBudgetOptions): RelayRetryBudget {
   const { timers, self, bounds, domains, listInstances } = options;
-  const slack = bounds.retrySlack * RETRY_CAUTION;
+  const slack = bounds.retrySlack * RETRY_SAFETY_FACTOR;
   const window = bounds.retryWindow;
   const share = createRetryShare({
     timers,
@@ -51,7 +51,7 @@
     window,
     poolSize: (slack * POOL_SHARE) / Math.max(1, domains.length),
     listInstances,
-    isHearing: options.isHearing,
+    isCurrent: options.isCurrent,
     askGrant: options.askGrant,
   });
 
--- a/packages/relay/src/RelaySync.ts
+++ b/packages/relay/src/RelaySync.ts
@@ -14,7 +14,7 @@
 import type { ConfirmCurrent } from './RelayConfirm.js';
 import { createRelayConfirm } from './RelayConfirm.js';
 import type { RelayLease } from './RelayLease.js';
-import { OWN_PREFIX } from './RelayLease.js';
+import { RELAY_KEY_PREFIX } from './RelayLease.js';
 import { createMirror } from './RelayMirror.js';
 import type { AskForUpdates, RelayUpdates } from './RelayUpdates.js';
 import { createRelayUpdates } from './RelayUpdates.js';
@@ -23,7 +23,7 @@
 import type { AskPeer, RelayPeers } from './RelayPeers.js';
 import { createRelayPeers } from './RelayPeers.js';
 import { createFanoutRoleCache, FanoutLevel } from './RelayFanout.js';
-import type { RelayWork, RelayWorkOptions, ToldWork } from './RelayWork.js';
+import type { RelayWork, RelayWorkOptions, WorkReport } from './RelayWork.js';
 import { createRelayWork } from './RelayWork.js';
 import type { InstanceEntry, ReadBackendKey, ReadContent, StoreContent } from './RelayTypes.js';
 
@@ -36,7 +36,7 @@
   readonly readBackendKey: ReadBackendKey;
   readonly askPeer: AskPeer;
   readonly askForUpdates: AskForUpdates;
-  readonly readOwnWork: () => ToldWork;
+  readonly readOwnWork: () => WorkReport;
   readonly isCrowded: () => boolean;
   /** Other instances reported their running work. */
   readonly onOthersWork: () => void;
@@ -85,8 +85,8 @@
       return;
     }
     const key = event.kind === 'written' ? event.item.key : event.key;
-    if (key.startsWith(OWN_PREFIX)) {
-      lease.takeEvent(event);
+    if (key.startsWith(RELAY_KEY_PREFIX)) {
+      lease.applyEvent(event);
     } else if (event.kind === 'written') {
       applyItem(event.item, origin);
     } else {
@@ -139,9 +139,9 @@
   const work = createRelayWork({
     timers,
     self: options.self.id,
-    readOwn: options.readOwnWork,
+    readOwnWork: options.readOwnWork,
     isAggregator: () => role.get().level !== FanoutLevel.Subscriber,
-    onHeard: options.onOthersWork,
+    onPeerWork: options.onOthersWork,
     onLost: options.onLost,
   });
   const news = createRelayUpdates({
--- a/packages/relay/src/RelayTuning.ts
+++ b/packages/relay/src/RelayTuning.ts
@@ -16,7 +16,7 @@
 }
 
 /** A part of the fleet's retries stays unused: instances may count each other late. */
-export const RETRY_CAUTION = 0.9;
+export const RETRY_SAFETY_FACTOR = 0.9;
 /**
  * Part of the slack for repeats that lies in pools and is lent where it is needed. The rest is held by all
  * instances alike, for the time in which nobody lends: in a cut, and for fifteen seconds after a granter is lost.
@@ -67,7 +67,7 @@
     limits: LIMITS,
     silence: SILENCE,
     lengthShare: LENGTH_SHARE,
-    retryShare: retryShare * RETRY_CAUTION,
+    retryShare: retryShare * RETRY_SAFETY_FACTOR,
     retryBurst: 0,
     retryWindow,
     isRecoveryBudgeted: true,
--- a/packages/relay/src/RelayTypes.ts
+++ b/packages/relay/src/RelayTypes.ts
@@ -89,7 +89,7 @@
   /** The stream is whole. */
   onEnd(): void;
   /** The stream ends early and must not look complete. */
-  onBroken(): void;
+  onAborted(): void;
   onAnswer(answer: ServiceAnswer): void;
   onRefused(refusal: RelayRefusal): void;
 }
--- a/packages/relay/src/RelayUpdates.ts
+++ b/packages/relay/src/RelayUpdates.ts
@@ -14,7 +14,7 @@
 import type { FanoutLevelValue, FanoutRole } from './RelayFanout.js';
 import { FanoutLevel } from './RelayFanout.js';
 import type { InstanceEntry } from './RelayTypes.js';
-import type { RelayWork, ToldWork } from './RelayWork.js';
+import type { RelayWork, WorkReport } from './RelayWork.js';
 
 /** Long poll to an update source, which may delay its answer until there are updates. */
 export interface UpdateQuery {
@@ -26,7 +26,7 @@
   /** Whether it accepts a full snapshot instead of changes. */
   readonly takesWhole: boolean;
   readonly from: InstanceId;
-  readonly work: ToldWork;
+  readonly work: WorkReport;
 }
 
 /**
@@ -43,7 +43,7 @@
       /** How long it delayed the answer. */
       readonly held: Millis;
       /** Work that other instances of the source's domain reported. */
-      readonly others: ToldWork;
+      readonly others: WorkReport;
     }
   | { readonly kind: 'deaf' }
   | { readonly kind: 'silent' };
@@ -63,8 +63,8 @@
   readonly askForUpdates: AskForUpdates;
   /** Fan-out role of this instance; without sources it watches the store. */
   readonly getRole: () => FanoutRole;
-  readonly work: Pick<RelayWork, 'take' | 'sumFor' | 'hear'>;
-  readonly readOwnWork: () => ToldWork;
+  readonly work: Pick<RelayWork, 'recordReport' | 'summarizeFor' | 'recordSummary'>;
+  readonly readOwnWork: () => WorkReport;
   /** Whether engines of the own domain are so full that free capacity depends on the work of other instances. */
   readonly isCrowded: () => boolean;
   /** No source gave updates: this instance watches the store directly for a while. */
@@ -194,7 +194,7 @@
     }
     // The full network round trip counts as age, since the time at which the source answered is unknown.
     age.noteAnswer(source.id, answer.age + Math.max(0, timers.now() - askedAt - answer.held));
-    options.work.hear(answer.others);
+    options.work.recordSummary(answer.others);
     const { changes } = answer;
     return { kind: 'events', events: mirror.toEvents(changes), revision: changes.revision };
   }
@@ -269,7 +269,7 @@
       changes: mirror.readSince(ask.since, ask.takesWhole),
       age: age.get(),
       held,
-      others: options.work.sumFor(ask.from),
+      others: options.work.summarizeFor(ask.from),
     };
   }
 
@@ -285,7 +285,7 @@
     async answer(ask) {
       const { since, hold } = ask;
       const askedAt = timers.now();
-      options.work.take(ask.from, ask.work);
+      options.work.recordReport(ask.from, ask.work);
       if (canAnswer(ask) && isUpToDate(since) && hold > 0) {
         await waitForUpdates(Math.min(hold, MAX_HOLD));
       }
--- a/packages/relay/src/RelayView.ts
+++ b/packages/relay/src/RelayView.ts
@@ -28,7 +28,7 @@
     getBackend: catalogue.get,
     findByAddress: (address) => findEntry(address)?.id ?? null,
     getHealthPath: (service) => getTable()?.findService(service)?.healthPath ?? null,
-    getMostConnections: (address) => {
+    getMaxConnections: (address) => {
       const service = findEntry(address)?.service ?? '';
       const most = getTable()?.findService(service)?.maxConnections ?? 0;
       const instances = Math.max(INSTANCES_ASSUMED, countInstances());
--- a/packages/relay/src/RelayWork.ts
+++ b/packages/relay/src/RelayWork.ts
@@ -16,10 +16,10 @@
 }
 
 /** Work on an engine that is known from the context. */
-export type OthersWork = Omit<EngineWork, 'engine'>;
+export type PeerWork = Omit<EngineWork, 'engine'>;
 
 /** What an instance tells of engines, or an aggregator of those of the whole domain. */
-export interface ToldWork {
+export interface WorkReport {
   readonly running: readonly EngineWork[];
   /** Engines that calls failed at, and that did not answer well when they were asked then. */
   readonly lost: readonly EngineId[];
@@ -27,23 +27,23 @@
 
 export interface RelayWork {
   /** An instance told its work. */
-  take(from: InstanceId, work: ToldWork): void;
+  recordReport(from: InstanceId, work: WorkReport): void;
   /** What this instance and all that told it have, but for the one that asks. */
-  sumFor(asker: InstanceId): ToldWork;
+  summarizeFor(asker: InstanceId): WorkReport;
   /** An aggregator told what the others have. */
-  hear(others: ToldWork): void;
+  recordSummary(others: WorkReport): void;
   /** Work of the others on an engine; null if nobody told of it lately. */
-  getOthers(engine: EngineId): OthersWork | null;
+  getPeerWork(engine: EngineId): PeerWork | null;
 }
 
 export interface RelayWorkOptions {
   readonly timers: TimerService;
   readonly self: InstanceId;
-  readonly readOwn: () => ToldWork;
+  readonly readOwnWork: () => WorkReport;
   /** Whether the others tell this instance, and not an aggregator. */
   readonly isAggregator: () => boolean;
   /** An aggregator told of the others anew. */
-  readonly onHeard: () => void;
+  readonly onPeerWork: () => void;
   /**
    * Others found an engine lost. Without this word each instance would send it requests of its own to find out, and
    * spend its few repeats on them.
@@ -56,7 +56,7 @@
 const NO_WORK = { calls: 0, kvTokens: 0 };
 
 interface DatedWork {
-  readonly work: ToldWork;
+  readonly work: WorkReport;
   readonly at: Millis;
 }
 
@@ -76,7 +76,7 @@
     [...told].filter(([, { at }]) => !isFresh(at)).forEach(([id]) => told.delete(id));
   }
 
-  function listTold(asker: InstanceId): readonly ToldWork[] {
+  function listTold(asker: InstanceId): readonly WorkReport[] {
     return [...told].flatMap(([id, { work }]) => (id === asker ? [] : [work]));
   }
 
@@ -97,25 +97,25 @@
   }
 
   return {
-    take(from, work) {
+    recordReport(from, work) {
       told.set(from, { work, at: timers.now() });
       sums = null;
       work.lost.forEach(options.onLost);
     },
-    sumFor(asker) {
+    summarizeFor(asker) {
       forgetOld();
-      const all = [...listTold(asker), options.readOwn()];
+      const all = [...listTold(asker), options.readOwnWork()];
       return {
         running: [...sumWork(all.flatMap(({ running }) => running)).values()],
         lost: [...new Set(all.flatMap(({ lost }) => lost))],
       };
     },
-    hear(others) {
+    recordSummary(others) {
       heard = { others: sumWork(others.running), at: timers.now() };
-      options.onHeard();
+      options.onPeerWork();
       others.lost.forEach(options.onLost);
     },
-    getOthers(engine) {
+    getPeerWork(engine) {
       const others = options.isAggregator() ? sumTold() : getHeard();
       return others === null ? null : (others.get(engine) ?? NO_WORK);
     },
--- a/packages/relay/src/__tests__/unit/RelayCatalogue.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayCatalogue.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
-import { createCatalogue, RETURN_TIME } from '../../RelayCatalogue.js';
-import { createLifeId } from '../../RelayLives.js';
+import { createCatalogue, LAPSED_ENTRY_GRACE } from '../../RelayCatalogue.js';
+import { createIncarnationId } from '../../RelayIncarnations.js';
 import type { BackendEntry } from '../../RelayTypes.js';
 import { createBackend } from './RelayFixtures.js';
 
 /** A life of server `a` that began at `born`. */
 function createLife(born: number, change: Partial<BackendEntry>): BackendEntry {
   const life = { server: 'a', born };
-  return createBackend(createLifeId(life), { ...life, ...change });
+  return createBackend(createIncarnationId(life), { ...life, ...change });
 }
 
 describe('RelayCatalogue', () => {
@@ -34,10 +34,10 @@
     catalogue.noteStoreRegained();
     ['a', 'b'].forEach((id) => catalogue.remove(id));
     expect(catalogue.list()).to.have.length(2);
-    timers.advanceTo(9000 + RETURN_TIME / 2);
+    timers.advanceTo(9000 + LAPSED_ENTRY_GRACE / 2);
     catalogue.put(createBackend('b'));
     const before = told;
-    timers.advanceTo(9000 + RETURN_TIME + 1);
+    timers.advanceTo(9000 + LAPSED_ENTRY_GRACE + 1);
     expect(catalogue.list().map(({ id }) => id)).to.deep.equal(['b']);
     expect(told).to.equal(before + 1);
   });
@@ -105,7 +105,7 @@
     catalogue.put(createBackend('a', { layers: { first: 0, end: 2 } }));
     expect(catalogue.get('a')).to.include({ state: 'live' });
     expect(catalogue.get('b')).to.include({ state: 'leaving' });
-    timers.advanceTo(RETURN_TIME + 1);
+    timers.advanceTo(LAPSED_ENTRY_GRACE + 1);
     expect(catalogue.get('b')).to.include({ state: 'live' });
     expect(catalogue.get('new')).to.equal(null);
   });
--- a/packages/relay/src/__tests__/unit/RelayGrants.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayGrants.test.ts
@@ -70,7 +70,7 @@
       window: WINDOW,
       poolSize: (SLACK * POOL_SHARE) / DOMAINS.length,
       listInstances,
-      isHearing: () => processes.get(id)?.isHearing ?? false,
+      isCurrent: () => processes.get(id)?.isHearing ?? false,
       // Questions and answers are lost now and then.
       askGrant: async (peer, service, wanted) => {
         const asked = random.nextInt(20) > 0 ? processes.get(peer.id) : undefined;
--- a/packages/relay/src/__tests__/unit/RelayHealth.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayHealth.test.ts
@@ -47,9 +47,9 @@
         );
       },
     },
-    isBlind: () => isBlind,
-    onWell: (engine) => well.push(engine),
-    onSeen: () => undefined,
+    isIsolated: () => isBlind,
+    onHealthy: (engine) => well.push(engine),
+    onUnhealthy: () => undefined,
   });
   let listener: EngineCallListener | null = null;
   const open = watch.watchCalls((_call, heard) => {
--- a/packages/relay/src/__tests__/unit/RelayIntake.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayIntake.test.ts
@@ -45,9 +45,9 @@
     random: createRandom(1),
     router,
     getTable: () => table,
-    getNewsAge: () => newsAge,
+    getStaleness: () => newsAge,
     changeTime: 2000,
-    confirmNews: (done) => confirm(done),
+    confirmCurrent: (done) => confirm(done),
     onDecision: (decision) => decisions.push({ ...decision }),
   });
   const submit = (change: Partial<RelayCall> = {}) => {
@@ -71,7 +71,7 @@
         onHead: ({ status }) => heard.push(`head ${status}`),
         onEvent: (event) => heard.push(event),
         onEnd: () => heard.push('end'),
-        onBroken: () => heard.push('broken'),
+        onAborted: () => heard.push('broken'),
         onAnswer: ({ status }) => heard.push(`answer ${status}`),
         onRefused: (refusal) => refusals.push(refusal),
       },
--- a/packages/relay/src/__tests__/unit/RelayLease.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLease.test.ts
@@ -3,7 +3,7 @@
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
 import { registerFollow } from '@skylarksail/store/StoreFollow';
-import { createRelayLease, OWN_PREFIX } from '../../RelayLease.js';
+import { createRelayLease, RELAY_KEY_PREFIX } from '../../RelayLease.js';
 
 const DOMAINS = ['d1', 'd2'];
 
@@ -17,7 +17,7 @@
       timers,
       random,
       self: { id, domain, address: null },
-      leaseLeast: 1000,
+      minLeaseTime: 1000,
       listDomains: () => DOMAINS,
       onError: () => undefined,
     });
@@ -25,13 +25,13 @@
       port: store,
       timers,
       random,
-      prefix: OWN_PREFIX,
+      prefix: RELAY_KEY_PREFIX,
       wait: 500,
       timeout: 300,
       getGatherTime: () => 120,
       listener: {
-        onSnapshot: (items) => items.forEach((item) => lease.takeEvent({ kind: 'written', item })),
-        onEvent: lease.takeEvent,
+        onSnapshot: (items) => items.forEach((item) => lease.applyEvent({ kind: 'written', item })),
+        onEvent: lease.applyEvent,
         onLost: () => undefined,
         onRegained: () => undefined,
       },
--- a/packages/relay/src/__tests__/unit/RelayLinks.ts
+++ b/packages/relay/src/__tests__/unit/RelayLinks.ts
@@ -1,5 +1,5 @@
 /** Rate-limited links between instances and a store in virtual time, for tests of the store sync. */
-import { LARGE_ANSWER } from '@skylarksail/core/CoreArrival';
+import { LARGE_RESPONSE_LIMITS } from '@skylarksail/core/CoreResponseTimeout';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreOutcome } from '@skylarksail/store/StorePort';
@@ -128,7 +128,7 @@
     const begunAt = timers.now();
     const hasArrived = await links.transfer('store', self, bytes, {
       timeLeft: until - begunAt,
-      whole: LARGE_ANSWER.whole,
+      whole: LARGE_RESPONSE_LIMITS.whole,
     });
     if (!hasArrived) {
       return { kind: 'unknown' };
--- a/packages/relay/src/__tests__/unit/RelayParts.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayParts.test.ts
@@ -89,7 +89,7 @@
         bounds: { retryShare: 0.2, retrySlack: 100, retryWindow: 10_000 },
         domains: ['d1'],
         changeTime: 2000,
-        leaseLeast: 1000,
+        minLeaseTime: 1000,
         timers,
         wallNow: () => timers.now() + slept,
         random: createRandom(ids.length),
@@ -102,12 +102,12 @@
           return Promise.resolve(answer ?? { kind: 'silent' });
         },
         askForUpdates: async ({ id: peer }, ask) => {
-          const answer = gone.has(peer) ? undefined : await parts.get(peer)?.news.answer(ask);
+          const answer = gone.has(peer) ? undefined : await parts.get(peer)?.updates.answer(ask);
           return answer ?? { kind: 'silent' };
         },
         askGrant: ({ id: peer }, service, wanted) =>
           Promise.resolve(
-            gone.has(peer) ? 0 : (parts.get(peer)?.repeats.grant(service, wanted) ?? 0),
+            gone.has(peer) ? 0 : (parts.get(peer)?.retries.grant(service, wanted) ?? 0),
           ),
         createBackends: () => createBackends(id),
         logger: pino({ level: 'silent' }),
@@ -156,7 +156,7 @@
         onHead: ignore,
         onEvent: ignore,
         onEnd: ignore,
-        onBroken: ignore,
+        onAborted: ignore,
         onAnswer: ignore,
         onRefused: (refusal) => refusals.push(refusal),
       });
@@ -193,7 +193,7 @@
     await loseEngine(bed);
     expect(new Set(bed.orders.map(({ by }) => by))).to.deep.equal(new Set([placer]));
     expect(bed.orders.some(({ engine }) => engine === 'e1')).to.equal(false);
-    expect(bed.parts.get(placer)?.readState().isBlind).to.equal(true);
+    expect(bed.parts.get(placer)?.readState().isIsolated).to.equal(true);
   });
 
   it('lets another one place where the last placer is gone or leaves', async () => {
@@ -239,7 +239,7 @@
       await bed.timers.advanceToAsync(at);
       bed.call('one');
     }
-    expect(bed.parts.get('one')?.readState()).to.include({ isBlind: false, duties: 0 });
+    expect(bed.parts.get('one')?.readState()).to.include({ isIsolated: false, duties: 0 });
     expect(bed.parts.get('two')?.readState()).to.include({ duties: 1 });
     // Until its lease could have lapsed the first one is the placer.
     const later = bed.orders.filter(({ at }) => at > 6000 + LEASE_TIME);
--- a/packages/relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -5,7 +5,7 @@
 import { createRouteTable } from '@skylarksail/routes/RouteTable';
 import { createCatalogue } from '../../RelayCatalogue.js';
 import type { RangeOrderAnswer } from '../../RelayPorts.js';
-import { createLifeId } from '../../RelayLives.js';
+import { createIncarnationId } from '../../RelayIncarnations.js';
 import { createRelayPlacement } from '../../RelayPlacement.js';
 import { createBackend, createConfig, PIPELINE } from './RelayFixtures.js';
 
@@ -28,7 +28,7 @@
     timers,
     catalogue,
     getTable: () => table,
-    holds: () => isHolder,
+    hasDuty: () => isHolder,
     domains: ['d1', 'd2', 'd3'],
     port: {
       readStatus: () => Promise.resolve({ born, orderCount: 7, isBusy: false, layers: null }),
@@ -66,7 +66,7 @@
 ): void => {
   for (let i = 0; i < count; i++) {
     const life = { server: `e${i}`, born };
-    bed.catalogue.put(createBackend(createLifeId(life), life));
+    bed.catalogue.put(createBackend(createIncarnationId(life), life));
   }
 };
 
--- a/packages/relay/src/__tests__/unit/RelayPatience.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayReplanDelays.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
-import { createCutPatience } from '../../RelayPatience.js';
+import { createReplanDelays } from '../../RelayReplanDelays.js';
 import { createBackend } from './RelayFixtures.js';
 
 const KEY = 'letters/d1';
@@ -12,20 +12,20 @@
     // waited for, as calls had failed at the engine.
     // Cause: patience was counted from the gap alone, and not from the loss.
     const timers = createVirtualTimers();
-    const patience = createCutPatience(timers);
+    const patience = createReplanDelays(timers);
     const [left, lost] = [createBackend('left'), createBackend('lost')];
     patience.observe(KEY, [left, lost]);
-    expect(patience.isLossBorne(KEY)).to.equal(true);
+    expect(patience.isLossGraceOver(KEY)).to.equal(true);
     timers.advanceTo(10_000);
     patience.observe(KEY, [left, { ...lost, state: 'leaving' }]);
     expect(patience.isGapDue(KEY, true)).to.equal(false);
     timers.advanceTo(13_600);
     expect(patience.isGapDue(KEY, true)).to.equal(true);
-    expect(patience.isLossBorne(KEY)).to.equal(true);
+    expect(patience.isLossGraceOver(KEY)).to.equal(true);
 
     patience.observe(KEY, [left]);
-    expect(patience.isLossBorne(KEY)).to.equal(false);
+    expect(patience.isLossGraceOver(KEY)).to.equal(false);
     timers.advanceTo(15_100);
-    expect(patience.isLossBorne(KEY)).to.equal(true);
+    expect(patience.isLossGraceOver(KEY)).to.equal(true);
   });
 });
--- a/packages/relay/src/__tests__/unit/RelaySyncBed.ts
+++ b/packages/relay/src/__tests__/unit/RelaySyncBed.ts
@@ -194,7 +194,7 @@
       timers,
       random,
       self,
-      leaseLeast: 1000,
+      minLeaseTime: 1000,
       listDomains: () => [],
       onError: () => undefined,
     });
--- a/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
@@ -21,7 +21,11 @@
 
 const NO_WORK = { running: [], lost: [] };
 const WORK_OPTIONS = {
-  work: { take: () => undefined, sumFor: () => NO_WORK, hear: () => undefined },
+  work: {
+    recordReport: () => undefined,
+    summarizeFor: () => NO_WORK,
+    recordSummary: () => undefined,
+  },
   readOwnWork: () => NO_WORK,
   isCrowded: () => false,
 };
--- a/packages/relay/src/__tests__/unit/RelayWork.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayWork.test.ts
@@ -4,7 +4,7 @@
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { readUpdateQuery } from '../../RelayPeerMessages.js';
-import type { ToldWork } from '../../RelayWork.js';
+import type { WorkReport } from '../../RelayWork.js';
 import { createRelayWork } from '../../RelayWork.js';
 
 const INSTANCES = 39;
@@ -17,7 +17,7 @@
 /** As often as an instance asks whose engines are near their limit, in ms. */
 const TELL_PERIOD = 200;
 
-const IDLE: ToldWork = { running: [], lost: [] };
+const IDLE: WorkReport = { running: [], lost: [] };
 
 type Believe = (instance: number, engine: string) => number;
 
@@ -62,7 +62,7 @@
   return refused / arrivals;
 }
 
-function toWork(table: ReadonlyMap<string, number>): ToldWork {
+function toWork(table: ReadonlyMap<string, number>): WorkReport {
   const running = [...table].map(([engine, calls]) => ({ engine, calls, kvTokens: calls * 900 }));
   return { running, lost: [] };
 }
@@ -85,9 +85,9 @@
         createRelayWork({
           timers,
           self: `i${i}`,
-          readOwn: () => toWork(table),
+          readOwnWork: () => toWork(table),
           isAggregator: () => i === 0,
-          onHeard: () => undefined,
+          onPeerWork: () => undefined,
           onLost: () => undefined,
         }),
       );
@@ -98,11 +98,11 @@
           const due = (toldAt[i] ?? 0) + TELL_PERIOD <= now();
           if (due) {
             toldAt[i] = now() - (i * TELL_PERIOD) / INSTANCES / 2;
-            aggregators[0]?.take(`i${i}`, toWork(table));
-            aggregators[i]?.hear(aggregators[0]?.sumFor(`i${i}`) ?? IDLE);
+            aggregators[0]?.recordReport(`i${i}`, toWork(table));
+            aggregators[i]?.recordSummary(aggregators[0]?.summarizeFor(`i${i}`) ?? IDLE);
           }
         });
-        const others = aggregators[instance]?.getOthers(engine)?.calls ?? 0;
+        const others = aggregators[instance]?.getPeerWork(engine)?.calls ?? 0;
         return (own[instance]?.get(engine) ?? 0) + others;
       };
     });
@@ -118,22 +118,28 @@
       createRelayWork({
         timers,
         self,
-        readOwn: () => IDLE,
+        readOwnWork: () => IDLE,
         isAggregator: () => isAggregator,
-        onHeard: () => undefined,
+        onPeerWork: () => undefined,
         onLost: (engine) => lost.push(`${self} ${engine}`),
       });
     const [aggregator, subscriber] = [create('aggregator', true), create('subscriber', false)];
-    expect(aggregator.getOthers('e')).to.equal(null);
-    aggregator.take('one', { running: [{ engine: 'e', calls: 2, kvTokens: 100 }], lost: ['dead'] });
-    aggregator.take('two', { running: [{ engine: 'e', calls: 1, kvTokens: 50 }], lost: [] });
-    subscriber.hear(aggregator.sumFor('two'));
-    expect(aggregator.getOthers('e')).to.deep.include({ calls: 3, kvTokens: 150 });
-    expect(subscriber.getOthers('e')).to.deep.include({ calls: 2, kvTokens: 100 });
+    expect(aggregator.getPeerWork('e')).to.equal(null);
+    aggregator.recordReport('one', {
+      running: [{ engine: 'e', calls: 2, kvTokens: 100 }],
+      lost: ['dead'],
+    });
+    aggregator.recordReport('two', {
+      running: [{ engine: 'e', calls: 1, kvTokens: 50 }],
+      lost: [],
+    });
+    subscriber.recordSummary(aggregator.summarizeFor('two'));
+    expect(aggregator.getPeerWork('e')).to.deep.include({ calls: 3, kvTokens: 150 });
+    expect(subscriber.getPeerWork('e')).to.deep.include({ calls: 2, kvTokens: 100 });
     expect(lost).to.deep.equal(['aggregator dead', 'subscriber dead']);
-    expect(subscriber.getOthers('other')).to.deep.include({ calls: 0 });
+    expect(subscriber.getPeerWork('other')).to.deep.include({ calls: 0 });
     timers.advanceTo(4000);
-    expect([aggregator.getOthers('e'), subscriber.getOthers('e')]).to.deep.equal([null, null]);
+    expect([aggregator.getPeerWork('e'), subscriber.getPeerWork('e')]).to.deep.equal([null, null]);
   });
 
   it('reads no question that makes no sense, whatever bytes come', () => {
--- a/packages/requests/src/RequestPorts.ts
+++ b/packages/requests/src/RequestPorts.ts
@@ -141,4 +141,9 @@
 export type OpenServiceCall = (call: ServiceCall, listener: ServiceCallListener) => Unregister;
 
 /** Claims of keyed requests, as defined by the claims package. */
-export type { ClaimAsk, ClaimOutcome, ClaimPort, ClaimRecord } from '@skylarksail/claims/ClaimPort';
+export type {
+  ClaimRequest,
+  ClaimOutcome,
+  ClaimPort,
+  ClaimRecord,
+} from '@skylarksail/claims/ClaimPort';
--- a/packages/requests/src/__tests__/unit/RequestFakes.ts
+++ b/packages/requests/src/__tests__/unit/RequestFakes.ts
@@ -8,7 +8,7 @@
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type {
   AttemptFailure,
-  ClaimAsk,
+  ClaimRequest,
   ClaimOutcome,
   ClaimPort,
   EngineCall,
@@ -55,7 +55,7 @@
 
 /** A claim whose outcome the test decides. */
 export interface OpenedClaim {
-  readonly ask: ClaimAsk;
+  readonly ask: ClaimRequest;
   readonly answer: (outcome: ClaimOutcome) => void;
 }
 
