--- a/packages/placement/src/PlacementAdmission.ts
+++ b/packages/placement/src/PlacementAdmission.ts
@@ -1,6 +1,6 @@
 /**
- * Which moves may start now. An engine that loads serves nothing, so a move is let through only if the
- * model that it serves keeps its floor without it.
+ * Decides which moves may start now. An engine serves nothing while it loads, so a move starts only if
+ * the model that the engine serves keeps its minimum capacity without it.
  */
 import type { ModelId } from '@skylarksail/core/CoreTypes';
 import type { ServingEngine } from './PlacementCapacity.js';
@@ -13,27 +13,33 @@
 } from './PlacementTypes.js';
 import { MoveReason } from './PlacementTypes.js';
 
-/** Where there is no minimum, or it is missed already, moves keep this share of what is served. */
-const SOFT_FLOOR = 0.5;
-/** Share of the engines that may load at a time for anything but restoring. */
-const LOADING_SHARE = 0.15;
-/** Rounding of sums of rates. */
+/**
+ * Share of a model's current capacity that moves leave in place. It is the only floor where the manifest
+ * sets no minimum or the model is already below it.
+ */
+const SOFT_FLOOR_SHARE = 0.5;
+/** Share of the usable engines that may load at a time; restore moves are exempt. */
+const MAX_LOADING_SHARE = 0.15;
+/** Relative tolerance for rounding errors in sums of rates. */
 const ROUNDING = 1e-6;
 
-/** A move with its engine, its place in the order, and the stage and version that it is for. */
+/** A move with what decides when it may start. */
 export interface PlannedMove extends PlacementMove {
+  /** The engine as it is before the move. */
   readonly from: PlacementEngine;
+  /** Rank of the move's reason; 0 is the most urgent. */
   readonly urgencyRank: number;
+  /** Model, version and layers that the move is for; null if the engine is to hold nothing. */
   readonly stage: string | null;
 }
 
-/** Moves that may start, and those that must wait. */
+/** Moves that may start now, and moves that must wait. */
 export interface AdmittedMoves {
   readonly moves: readonly PlacementMove[];
   readonly blocked: readonly PlacementMove[];
 }
 
-/** Divides moves, the most urgent first, into those that may start and those that must wait. */
+/** Splits moves, given the most urgent first, into those that may start and those that must wait. */
 export function admitMoves(
   state: PlacementState,
   goals: readonly ModelGoal[],
@@ -41,19 +47,19 @@
 ): AdmittedMoves {
   const usable = state.engines.filter(({ isUsable }) => isUsable);
   let loading = usable.filter(({ holding, expected }) => !holding && expected).length;
-  const mostLoading = Math.max(1, Math.floor(usable.length * LOADING_SHARE));
+  const maxLoading = Math.max(1, Math.floor(usable.length * MAX_LOADING_SHARE));
   const serving = listServing(state.engines);
-  let left = serving;
+  let remaining = serving;
   const moves: PlannedMove[] = [];
   const blocked: PlannedMove[] = [];
   const floors = new Map(goals.map((goal) => [goal.model.id, createFloor(goal, serving)]));
   for (const move of ordered) {
     const isRestore = move.reason === MoveReason.Restore;
-    const without = left.filter(({ engine }) => engine !== move.from);
-    const isTooMany = !isRestore && loading >= mostLoading;
-    if (!isTooMany && isAboveFloor(move, floors, left, without)) {
+    const servingWithout = remaining.filter(({ engine }) => engine !== move.from);
+    const isOverLoadingLimit = !isRestore && loading >= maxLoading;
+    if (!isOverLoadingLimit && isAboveFloor(move, floors, remaining, servingWithout)) {
       moves.push(move);
-      left = without;
+      remaining = servingWithout;
       loading += 1;
     } else {
       blocked.push(move);
@@ -65,26 +71,29 @@
   return { moves, blocked };
 }
 
+/** Capacity of a model, in tokens per second, that moves must leave in place. */
 interface Floor {
   readonly goal: ModelGoal;
+  /** Floor for moves that are not forced. */
   readonly soft: number;
+  /** The manifest's minimum, or 0 if the model is already below it; a move is forced only at 0. */
   readonly hard: number;
-  readonly isShort: boolean;
+  readonly isBelowMinimum: boolean;
 }
 
 function createFloor(goal: ModelGoal, serving: readonly ServingEngine[]): Floor {
   const capacity = computeModelCapacity(goal.model, serving);
   const { minTokensPerSecond } = goal;
-  const isMissed = capacity < minTokensPerSecond * (1 - ROUNDING);
+  const isBelowMinimum = capacity < minTokensPerSecond * (1 - ROUNDING);
   return {
     goal,
-    hard: isMissed ? 0 : minTokensPerSecond,
-    soft: Math.max(isMissed ? 0 : minTokensPerSecond, capacity * SOFT_FLOOR),
-    isShort: isMissed,
+    hard: isBelowMinimum ? 0 : minTokensPerSecond,
+    soft: Math.max(isBelowMinimum ? 0 : minTokensPerSecond, capacity * SOFT_FLOOR_SHARE),
+    isBelowMinimum,
   };
 }
 
-/** Whether the model that an engine serves keeps its floor without it. */
+/** Whether the model that the move's engine serves stays above its floor without that engine. */
 function isAboveFloor(
   move: PlannedMove,
   floors: ReadonlyMap<ModelId, Floor>,
@@ -95,17 +104,18 @@
   if (!floor) {
     return true;
   }
-  const left = computeModelCapacity(floor.goal.model, after);
-  if (left >= computeModelCapacity(floor.goal.model, before) * (1 - ROUNDING)) {
+  const capacityAfter = computeModelCapacity(floor.goal.model, after);
+  if (capacityAfter >= computeModelCapacity(floor.goal.model, before) * (1 - ROUNDING)) {
     return true;
   }
-  const isAllowed = !floor.isShort || move.reason === MoveReason.Restore;
-  return isAllowed && left >= floor.soft * (1 - ROUNDING);
+  const isAllowed = !floor.isBelowMinimum || move.reason === MoveReason.Restore;
+  return isAllowed && capacityAfter >= floor.soft * (1 - ROUNDING);
 }
 
 /**
- * Lets the first move through that breaks no minimum, when otherwise nothing could ever change: a stage
- * of a single engine cannot be changed without a gap, and where the manifest sets no minimum it allows one.
+ * Admits the first move whose model has no minimum or is already below it, when otherwise nothing could
+ * ever change. A stage of a single engine cannot change without a gap, and a manifest without a minimum
+ * allows one.
  */
 function forceMove(
   blocked: readonly PlannedMove[],
--- a/packages/placement/src/PlacementCapacity.ts
+++ b/packages/placement/src/PlacementCapacity.ts
@@ -1,46 +1,46 @@
-/** Tokens a second that engines give together, by a max-flow from layer 0 to the last. */
+/** Tokens per second that engines can serve together: the maximum flow from the first layer to the last. */
 import type { Holding } from '@skylarksail/core/CoreEngine';
 import type { ModelId, VersionId } from '@skylarksail/core/CoreTypes';
 import { createFlowGraph } from '@skylarksail/routing/RoutingFlow';
 import { getRate } from './PlacementGoals.js';
 import type { PlacementEngine, PlacementModel } from './PlacementTypes.js';
 
-/** Something that serves: an engine with what it holds. */
+/** An engine that serves, with the layers it holds. */
 export interface ServingEngine {
   readonly engine: PlacementEngine;
   readonly holding: Holding;
 }
 
-/** Engines that serve now. A loading one has no holding. */
+/** Usable engines that can serve now. An engine that is loading has no holding. */
 export function listServing(engines: readonly PlacementEngine[]): readonly ServingEngine[] {
   return engines.flatMap((engine) =>
     engine.isUsable && engine.holding ? [{ engine, holding: engine.holding }] : [],
   );
 }
 
-/** Capacity of one version of a model. Zero unless a whole chain holds it. */
+/** Capacity of one version of a model; 0 unless the engines hold all of its layers. */
 export function computeCapacity(
   model: PlacementModel,
   version: VersionId,
   serving: readonly ServingEngine[],
 ): number {
   const rates = new Map<number, number>();
-  const width = model.layers + 1;
+  const nodeCount = model.layers + 1;
   for (const { engine, holding } of serving) {
     if (holding.model === model.id && holding.version === version) {
       const { first, end } = holding.layers;
-      const key = first * width + end;
+      const key = first * nodeCount + end;
       rates.set(key, (rates.get(key) ?? 0) + getRate(engine) / (end - first));
     }
   }
-  const graph = createFlowGraph(width);
+  const graph = createFlowGraph(nodeCount);
   for (const [key, rate] of rates) {
-    graph.addArc(Math.floor(key / width), key % width, rate);
+    graph.addArc(Math.floor(key / nodeCount), key % nodeCount, rate);
   }
   return rates.size === 0 ? 0 : graph.augment(0, model.layers);
 }
 
-/** Capacity of each version of a model that has any. */
+/** Capacity of each version of a model; versions without capacity are left out. */
 export function computeVersionCapacities(
   model: PlacementModel,
   serving: readonly ServingEngine[],
@@ -53,7 +53,7 @@
   return new Map(capacities.filter(([, capacity]) => capacity > 0));
 }
 
-/** Capacity of a model over all its versions: while versions change, both are served. */
+/** Capacity of a model summed over its versions: during a version change, both are served. */
 export function computeModelCapacity(
   model: PlacementModel,
   serving: readonly ServingEngine[],
@@ -62,7 +62,7 @@
   return [...capacities].reduce((sum, capacity) => sum + capacity, 0);
 }
 
-/** Capacities of all models by id. */
+/** Capacities of the models by model ID. */
 export function computeCapacities(
   models: readonly PlacementModel[],
   serving: readonly ServingEngine[],
--- a/packages/placement/src/PlacementCopies.ts
+++ b/packages/placement/src/PlacementCopies.ts
@@ -1,7 +1,7 @@
 /**
- * Plans a failure domain whose layers are held several times, as engines come and go. Missing layers come
- * first, then ranges with few holders; a range that keeps a holder serves on meanwhile, so its copies are left
- * alone until most engines that were lost are back.
+ * Plans a failure domain in which several engines hold the same layers, as engines join and leave. Missing
+ * layers are assigned first, then ranges with few holders get more. A range that still has a holder keeps
+ * serving, so its lost copies wait until most of the lost engines are back.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
@@ -18,68 +18,75 @@
 } from './PlacementRanges.js';
 import { isHeldBy } from './PlacementSteps.js';
 
-/** What may be done beside giving layers to engines that hold none. */
+/** Changes that the planner may make beyond assigning layers to engines that hold none. */
 export interface PermittedChanges {
-  /** Missing layers were waited for long enough: engines that hold others may take them. */
+  /** The grace period for missing layers is over: engines that hold other layers may take them. */
   readonly mayReassign: boolean;
-  /** Engines that are missing do not come back: the whole domain may be cut anew where no few can mend it. */
+  /**
+   * The missing engines are not expected back: the whole domain may be planned from scratch if reassigning a
+   * few engines cannot fill its gaps.
+   */
   readonly mayRebuild: boolean;
-  /** Nothing has changed for long: an engine may go from a range with many holders to one with few. */
+  /** The domain has been stable for long: an engine may move from a range with many holders to one with few. */
   readonly mayBalance: boolean;
-  /** A domain of one chain may be cut anew for more room. */
+  /** The layers of a domain with a single chain may be repartitioned for more KV cache. */
   readonly mayRepartition: boolean;
 }
 
-/** Layers between two boundaries of what engines hold, with those that hold them. */
+/** Layers between two adjacent boundaries of the ranges that engines hold, with the engines that hold them. */
 interface Segment {
   readonly range: LayerRange;
   readonly holders: readonly RangeEngine[];
 }
 
-/** A range has so many holders more than another before one of them is moved there. */
-const BALANCE_STEP = 2;
+/** An engine is moved to another range only if its own range has at least this many more holders. */
+const MIN_HOLDER_DIFFERENCE = 2;
 
 /**
- * What each engine should hold where `mostCopies` copies of each layer may stand; null if nothing is to be
- * done. A domain without memory for a second copy is planned as one chain.
+ * The ranges that engines should hold, with at most `mostCopies` holders per layer in a new layout; null if
+ * there is nothing to change. A domain without memory for a second copy is planned as a single chain.
  */
 export function planCopies(
   engines: readonly RangeEngine[],
   model: GroupModel,
   mostCopies: number,
-  patience: PermittedChanges,
+  permitted: PermittedChanges,
 ): RangePlan | null {
   const isFresh = engines.every(({ held }) => held === null);
   if (!hasCopies(engines)) {
-    // A layout is costly to find; without an engine to spare there is nothing to hold a second copy.
+    // Computing a layout is expensive, and without a spare engine no engine could hold a second copy.
     const isFull = engines.every(({ held }) => held !== null);
     const layout = isFull ? null : createGroupLayout(engines, model, mostCopies);
     if (layout === null) {
-      return planRanges(engines, model, isFresh || patience.mayReassign || patience.mayRepartition);
+      return planRanges(
+        engines,
+        model,
+        isFresh || permitted.mayReassign || permitted.mayRepartition,
+      );
     }
     if (isFresh) {
       return createGroupPlan(layout);
     }
   }
   const plan = new Map<EngineId, LayerRange>();
-  fillMissing(engines, model, patience.mayReassign, plan);
+  fillGaps(engines, model, permitted.mayReassign, plan);
   const filled = applyPlan(engines, plan);
   if (findGaps(filled, model).length > 0) {
-    return patience.mayRebuild ? cutAnew(engines, model, mostCopies) : toPlan(plan);
+    return permitted.mayRebuild ? rebuildPlan(engines, model, mostCopies) : toNullIfEmpty(plan);
   }
-  addHolders(filled, model, plan);
-  if (plan.size === 0 && patience.mayBalance) {
-    moveHolder(engines, model, plan);
+  addCopies(filled, model, plan);
+  if (plan.size === 0 && permitted.mayBalance) {
+    rebalanceOne(engines, model, plan);
   }
-  return toPlan(plan);
+  return toNullIfEmpty(plan);
 }
 
-/** Whether any layer is held twice. */
+/** Whether any layer is held by more than one engine. */
 export function hasCopies(engines: readonly RangeEngine[]): boolean {
   return listSegments(engines).some(({ holders }) => holders.length > 1);
 }
 
-function toPlan(plan: RangePlan): RangePlan | null {
+function toNullIfEmpty(plan: RangePlan): RangePlan | null {
   return plan.size === 0 ? null : plan;
 }
 
@@ -87,8 +94,8 @@
   return engines.map((engine) => ({ ...engine, held: plan.get(engine.id) ?? engine.held }));
 }
 
-/** For a domain that serves nothing and cannot be mended by a few engines. */
-function cutAnew(
+/** Plans a domain from scratch. Used if it has no chain and reassigning a few engines cannot fill its gaps. */
+function rebuildPlan(
   engines: readonly RangeEngine[],
   model: GroupModel,
   mostCopies: number,
@@ -98,26 +105,31 @@
   return layout ? createGroupPlan(layout) : planRanges(empty, model, true);
 }
 
-/** Gives missing layers to engines that hold none or, if need be, to others that can spare the memory. */
-function fillMissing(
+/**
+ * Assigns missing layers to spare engines or, if permitted, to engines that hold other layers: a neighbour of
+ * the gap, or engines whose own layers others hold too.
+ */
+function fillGaps(
   engines: readonly RangeEngine[],
   model: RangeModel,
-  mayMend: boolean,
+  mayReassign: boolean,
   plan: Map<EngineId, LayerRange>,
 ): void {
   for (const gap of findGaps(engines, model)) {
     const present = applyPlan(engines, plan);
     const spares = present.filter(({ held }) => held === null);
     const filled =
-      giveToOne(spares, gap, model) ??
-      giveToFew(spares, gap, model) ??
-      (mayMend ? (extendOne(present, gap, model) ?? moveSurplus(present, gap, model)) : null);
+      assignToOne(spares, gap, model) ??
+      splitAcrossFewest(spares, gap, model) ??
+      (mayReassign
+        ? (extendNeighbour(present, gap, model) ?? reassignRedundant(present, gap, model))
+        : null);
     filled?.forEach((range, id) => plan.set(id, range));
   }
 }
 
-/** The smallest engine that can hold the whole range. */
-function giveToOne(
+/** Assigns the whole range to the smallest engine that can hold it. */
+function assignToOne(
   candidates: readonly RangeEngine[],
   range: LayerRange,
   model: RangeModel,
@@ -128,8 +140,8 @@
   return best ? new Map([[best.id, range]]) : null;
 }
 
-/** The range shared out to as few engines as can hold it. */
-function giveToFew(
+/** Splits the range across the fewest engines that can hold it, largest first. */
+function splitAcrossFewest(
   candidates: readonly RangeEngine[],
   range: LayerRange,
   model: RangeModel,
@@ -145,10 +157,10 @@
 }
 
 /**
- * The engine beside a gap that keeps the most room when it takes the gap's layers too. It gives none up, so
- * nothing has to wait for answers to end.
+ * Extends one engine next to a gap by the gap's layers: the one that is left with the most KV cache per
+ * layer. It gives up no layers, so it does not have to wait for answers in progress to end.
  */
-function extendOne(
+function extendNeighbour(
   engines: readonly RangeEngine[],
   gap: LayerRange,
   model: RangeModel,
@@ -162,31 +174,32 @@
     return canHold(engine, range, model, MAX_GAP_WEIGHT_SHARE) ? [{ engine, range }] : [];
   });
   const [best] = options.sort(
-    (a, b) => getRoom(b.engine, b.range, model) - getRoom(a.engine, a.range, model),
+    (a, b) =>
+      getRangeHeadroom(b.engine, b.range, model) - getRangeHeadroom(a.engine, a.range, model),
   );
   return best ? new Map([[best.engine.id, best.range]]) : null;
 }
 
-/** The range given to engines whose own layers others hold too, each from another range. */
-function moveSurplus(
+/** Assigns the range to redundant engines: the others hold every layer even when all of these move. */
+function reassignRedundant(
   engines: readonly RangeEngine[],
   range: LayerRange,
   model: RangeModel,
 ): RangePlan | null {
   const movable: RangeEngine[] = [];
-  let left = engines;
+  let remaining = engines;
   for (const engine of engines) {
-    const others = left.filter((other) => other !== engine);
+    const others = remaining.filter((other) => other !== engine);
     if (engine.held && isHeldBy(others, engine.held)) {
       movable.push(engine);
-      left = others;
+      remaining = others;
     }
   }
-  return giveToOne(movable, range, model) ?? giveToFew(movable, range, model);
+  return assignToOne(movable, range, model) ?? splitAcrossFewest(movable, range, model);
 }
 
-/** Gives each engine without layers those whose holders would miss it most. */
-function addHolders(
+/** Assigns each spare engine to the segment it can hold that has the least KV cache to spare. */
+function addCopies(
   engines: readonly RangeEngine[],
   model: RangeModel,
   plan: Map<EngineId, LayerRange>,
@@ -196,27 +209,27 @@
     const segments = listSegments(present).filter(({ range }) =>
       canHold(spare, range, model, MAX_WEIGHT_SHARE),
     );
-    const [thinnest] = segments.sort((a, b) => compareSegments(a, b, model));
-    if (thinnest) {
-      plan.set(spare.id, thinnest.range);
+    const [weakest] = segments.sort((a, b) => compareSegments(a, b, model));
+    if (weakest) {
+      plan.set(spare.id, weakest.range);
       present = applyPlan(present, plan);
     }
   }
 }
 
-/** Moves one engine from a range with many holders to one with few. */
-function moveHolder(
+/** Moves at most one engine, from a range with many holders to one with few. */
+function rebalanceOne(
   engines: readonly RangeEngine[],
   model: RangeModel,
   plan: Map<EngineId, LayerRange>,
 ): void {
   const segments = [...listSegments(engines)].sort((a, b) => compareSegments(a, b, model));
   for (const { range, holders } of segments) {
-    const least = holders.length + BALANCE_STEP;
+    const minHolders = holders.length + MIN_HOLDER_DIFFERENCE;
     const donor = engines.find(
       (engine) =>
         engine.held !== null &&
-        countHolders(segments, engine.held) >= least &&
+        countHolders(segments, engine.held) >= minHolders &&
         canHold(engine, range, model, MAX_WEIGHT_SHARE),
     );
     if (donor) {
@@ -226,7 +239,7 @@
   }
 }
 
-/** Holders of the part of a range that has the fewest. */
+/** Number of holders of the least-held segment within a range. */
 function countHolders(segments: readonly Segment[], { first, end }: LayerRange): number {
   const counts = segments
     .filter(({ range }) => range.first < end && first < range.end)
@@ -234,33 +247,33 @@
   return Math.min(...counts);
 }
 
-/** The layers that are held, cut at each boundary of an engine's range. */
+/** The layers that engines hold, split at each boundary of an engine's range. */
 function listSegments(engines: readonly RangeEngine[]): readonly Segment[] {
   const held = engines.flatMap(({ held: range }) => (range ? [range.first, range.end] : []));
   const bounds = [...new Set(held)].sort((a, b) => a - b);
   return bounds.slice(1).flatMap((end, i) => {
     const first = bounds[i];
-    invariant(first !== undefined, 'a segment has two bounds');
+    invariant(first !== undefined, 'a segment must have two bounds');
     const range = { first, end };
     const holders = engines.filter((engine) => engine.held && isWithin(range, engine.held));
     return holders.length > 0 ? [{ range, holders }] : [];
   });
 }
 
-/** First the segment that would be left with the least room if it lost a holder. */
+/** Sorts segments by the KV cache that would be left per layer after the loss of the holder with the most. */
 function compareSegments(a: Segment, b: Segment, model: RangeModel): number {
-  const [roomsA, roomsB] = [listRooms(a, model), listRooms(b, model)];
+  const [headroomsA, headroomsB] = [listHeadrooms(a, model), listHeadrooms(b, model)];
   return (
-    sum(roomsA.slice(1)) - sum(roomsB.slice(1)) ||
-    sum(roomsA) - sum(roomsB) ||
+    sum(headroomsA.slice(1)) - sum(headroomsB.slice(1)) ||
+    sum(headroomsA) - sum(headroomsB) ||
     a.range.first - b.range.first
   );
 }
 
-/** KV cache for each layer at a segment's holders, the largest first. */
-function listRooms({ holders }: Segment, model: RangeModel): readonly number[] {
+/** KV-cache bytes per layer at each of a segment's holders, largest first. */
+function listHeadrooms({ holders }: Segment, model: RangeModel): readonly number[] {
   return holders
-    .flatMap((engine) => (engine.held ? [getRoom(engine, engine.held, model)] : []))
+    .flatMap((engine) => (engine.held ? [getRangeHeadroom(engine, engine.held, model)] : []))
     .sort((a, b) => b - a);
 }
 
@@ -268,7 +281,11 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-function getRoom(engine: RangeEngine, { first, end }: LayerRange, model: RangeModel): number {
+function getRangeHeadroom(
+  engine: RangeEngine,
+  { first, end }: LayerRange,
+  model: RangeModel,
+): number {
   return getEngineHeadroom(engine, end - first, model);
 }
 
--- a/packages/placement/src/PlacementCuts.ts
+++ b/packages/placement/src/PlacementCuts.ts
@@ -1,42 +1,45 @@
-/** How a model's layers are cut into stages: sizes for engines that are given, and cuts in use. */
+/** Partitions a model's layers into stages: sizes new stages, and finds the stage ranges in use. */
 import type { LayerRange } from '@skylarksail/core/CoreTypes';
 import { countFittingLayers, sumRates } from './PlacementGoals.js';
 import type { LayoutStage, PlacementEngine, PlacementModel } from './PlacementTypes.js';
 
-const SEARCH_STEPS = 24;
+const BISECTION_STEPS = 24;
 
-/** Sizes of stages that make the slowest as fast as can be; null if the layers do not fit. */
-export function computeSizes(
+/**
+ * Numbers of layers per stage that maximize the throughput of the slowest stage; null if the layers do not
+ * fit. `rates` are the stages' layer tokens per second, `limits` the most layers that each can hold.
+ */
+export function computeStageSizes(
   layers: number,
   rates: readonly number[],
   limits: readonly number[],
 ): readonly number[] | null {
-  const slowest = Math.min(...rates);
-  // At half of the slowest rate for all layers, each stage could hold as many as fit.
-  let low = slowest / layers / 2;
-  let high = slowest;
-  if (!(slowest > 0) || !isEnough(layers, rates, limits, low)) {
+  const slowestRate = Math.min(...rates);
+  // At half the speed at which the slowest stage could run all layers, only memory limits each stage.
+  let low = slowestRate / layers / 2;
+  let high = slowestRate;
+  if (!(slowestRate > 0) || !canPlaceAll(layers, rates, limits, low)) {
     return null;
   }
-  for (let i = 0; i < SEARCH_STEPS; i++) {
+  for (let i = 0; i < BISECTION_STEPS; i++) {
     const middle = (low + high) / 2;
-    if (isEnough(layers, rates, limits, middle)) {
+    if (canPlaceAll(layers, rates, limits, middle)) {
       low = middle;
     } else {
       high = middle;
     }
   }
-  const sizes = rates.map((rate, i) => countLayers(rate, limits[i] ?? 0, low));
+  const sizes = rates.map((rate, i) => countLayersAtSpeed(rate, limits[i] ?? 0, low));
   return trimSizes(sizes, rates, layers);
 }
 
-/** Layers that a stage can do at a speed. */
-function countLayers(rate: number, limit: number, speed: number): number {
+/** Layers that a stage can hold and run at `speed` tokens per second. */
+function countLayersAtSpeed(rate: number, limit: number, speed: number): number {
   return Math.min(Math.floor(rate / speed), limit);
 }
 
-/** Whether stages that each hold some layers can do all of them at a speed. */
-function isEnough(
+/** Whether the stages, each with at least one layer, can run all layers at `speed` tokens per second. */
+function canPlaceAll(
   layers: number,
   rates: readonly number[],
   limits: readonly number[],
@@ -44,7 +47,7 @@
 ): boolean {
   let sum = 0;
   for (let i = 0; i < rates.length; i++) {
-    const count = countLayers(rates[i] ?? 0, limits[i] ?? 0, speed);
+    const count = countLayersAtSpeed(rates[i] ?? 0, limits[i] ?? 0, speed);
     if (count < 1) {
       return false;
     }
@@ -53,7 +56,7 @@
   return sum >= layers;
 }
 
-/** Takes layers that are too many from the stages that are slowest with them. */
+/** Removes surplus layers one by one, each from the slowest stage that has more than one. */
 function trimSizes(
   sizes: readonly number[],
   rates: readonly number[],
@@ -79,7 +82,7 @@
   return trimmed;
 }
 
-/** Stages for groups of engines, in the groups' order; null if the model does not fit. */
+/** One stage per group of engines, in the groups' order; null if the model does not fit. */
 export function createStages(
   model: PlacementModel,
   groups: readonly (readonly PlacementEngine[])[],
@@ -87,7 +90,7 @@
   const limits = groups.map((group) =>
     group.reduce((least, engine) => Math.min(least, countFittingLayers(model, engine)), Infinity),
   );
-  const sizes = computeSizes(model.layers, groups.map(sumRates), limits);
+  const sizes = computeStageSizes(model.layers, groups.map(sumRates), limits);
   if (!sizes) {
     return null;
   }
@@ -99,15 +102,18 @@
   });
 }
 
-interface Way {
+/** The best sequence of ranges found from the first layer to a boundary. */
+interface PartialCover {
+  /** Layers without a holder. */
   readonly missing: number;
+  /** Tokens per second of the slowest range that has a holder. */
   readonly slowest: number;
-  readonly cuts: readonly LayerRange[];
+  readonly sequence: readonly LayerRange[];
 }
 
 /**
- * The cuts in use: ranges that engines hold or will hold, joined so that the fewest layers are missing
- * and the slowest stage is the fastest. What is missing becomes a stage without engines.
+ * The stage ranges in use: a sequence of ranges that engines hold or will hold, with the fewest layers
+ * missing and, among equals, the fastest slowest stage. Missing layers become a range without engines.
  */
 export function findStageRanges(
   model: PlacementModel,
@@ -123,41 +129,47 @@
     }
   }
   const ranges = [...rates.values()];
-  const points = [
+  const boundaries = [
     ...new Set([0, model.layers, ...ranges.flatMap(({ range }) => [range.first, range.end])]),
   ].sort((a, b) => a - b);
-  const best = new Map<number, Way>([[0, { missing: 0, slowest: Infinity, cuts: [] }]]);
-  for (const at of points) {
-    const way = best.get(at);
-    const next = points.find((point) => point > at);
-    if (!way || next === undefined) {
+  const best = new Map<number, PartialCover>([
+    [0, { missing: 0, slowest: Infinity, sequence: [] }],
+  ]);
+  for (const boundary of boundaries) {
+    const cover = best.get(boundary);
+    const next = boundaries.find((point) => point > boundary);
+    if (!cover || next === undefined) {
       continue;
     }
-    const steps = ranges.filter(({ range }) => range.first === at);
-    for (const { range, rate } of [...steps, { range: { first: at, end: next }, rate: 0 }]) {
-      const missing = way.missing + (rate === 0 ? range.end - range.first : 0);
-      const slowest = rate === 0 ? way.slowest : Math.min(way.slowest, rate);
+    const steps = ranges.filter(({ range }) => range.first === boundary);
+    for (const { range, rate } of [...steps, { range: { first: boundary, end: next }, rate: 0 }]) {
+      const missing = cover.missing + (rate === 0 ? range.end - range.first : 0);
+      const slowest = rate === 0 ? cover.slowest : Math.min(cover.slowest, rate);
       const known = best.get(range.end);
       const isBetter =
         !known || missing < known.missing || (missing === known.missing && slowest > known.slowest);
       if (isBetter) {
-        best.set(range.end, { missing, slowest, cuts: joinMissing(way.cuts, range, rate, rates) });
+        best.set(range.end, {
+          missing,
+          slowest,
+          sequence: appendRange(cover.sequence, range, rate, rates),
+        });
       }
     }
   }
-  return best.get(model.layers)?.cuts ?? [];
+  return best.get(model.layers)?.sequence ?? [];
 }
 
-/** Adds a range; missing ones that follow each other become one. */
-function joinMissing(
-  cuts: readonly LayerRange[],
+/** Appends a range; adjacent ranges without holders are merged. */
+function appendRange(
+  sequence: readonly LayerRange[],
   range: LayerRange,
   rate: number,
   held: ReadonlyMap<string, unknown>,
 ): readonly LayerRange[] {
-  const last = cuts.at(-1);
+  const last = sequence.at(-1);
   const isLastMissing = last && !held.has(`${last.first}-${last.end}`);
   return rate === 0 && isLastMissing
-    ? [...cuts.slice(0, -1), { first: last.first, end: range.end }]
-    : [...cuts, range];
+    ? [...sequence.slice(0, -1), { first: last.first, end: range.end }]
+    : [...sequence, range];
 }
--- a/packages/placement/src/PlacementErrors.ts
+++ b/packages/placement/src/PlacementErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the placement package; errors from below are turned into these. */
+/** Errors of the placement package; errors of the packages that it uses are converted to these. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Thrown for any failure in this package. */
 export const PlacementError = SkylarkError.subclass('PlacementError');
--- a/packages/placement/src/PlacementFresh.ts
+++ b/packages/placement/src/PlacementFresh.ts
@@ -1,4 +1,4 @@
-/** A layout made without regard to what engines hold now. */
+/** Creates a layout from scratch, regardless of what engines hold now. */
 import { createStages } from './PlacementCuts.js';
 import { countFittingLayers, getRate, sumRates } from './PlacementGoals.js';
 import { getColumnRates, scoreLayout } from './PlacementScore.js';
@@ -13,32 +13,32 @@
 type Groups = readonly (readonly PlacementEngine[])[];
 
 const MAX_STAGES = 16;
-/** Columns of more engines are even enough without swaps. */
+/** Columns with more engines are balanced well enough without moves and swaps. */
 const MAX_SWAPPED_ENGINES = 20;
-const MAX_SWAPS = 12;
-const LEAST_IMPROVEMENT = 1.002;
-/** Cuts that are improved by swaps; the best before are mostly the best after. */
-const IMPROVED_STARTS = 3;
+const MAX_IMPROVEMENTS = 12;
+const MIN_IMPROVEMENT_FACTOR = 1.002;
+/** Only the best columns are improved by moves and swaps, as they are mostly the best afterwards, too. */
+const MAX_IMPROVED_COLUMNS = 3;
 
-/** Whether some island can hold each model. */
+/** Whether the islands can hold all models, each model whole on some island. */
 export function canHoldAll(
   goals: readonly ModelGoal[],
   islands: ReadonlyMap<string, readonly PlacementEngine[]>,
 ): boolean {
   const held = [...islands].flatMap(([, engines]) =>
-    [...shareOutEngines(goals, engines, new Map())].filter(([, part]) => part.length > 0),
+    [...assignEngines(goals, engines, new Map())].filter(([, part]) => part.length > 0),
   );
   return goals.every((goal) => held.some(([other]) => other === goal));
 }
 
-/** Lays out the models over the islands. */
+/** Lays out the models island by island; capacity on earlier islands counts towards the models' goals. */
 export function createFreshLayout(
   goals: readonly ModelGoal[],
   islands: ReadonlyMap<string, readonly PlacementEngine[]>,
 ): Layout {
   const placed = new Map<string, number>();
   return [...islands].flatMap(([island, engines]) => {
-    const parts = shareOutEngines(goals, engines, placed);
+    const parts = assignEngines(goals, engines, placed);
     const columns = [...parts].flatMap(([goal, part]) => {
       const column = createColumn(goal, island, part);
       return column ? [column] : [];
@@ -51,15 +51,18 @@
   });
 }
 
-/** Gives each model engines enough to hold it, the largest first, and then those that its goal asks for. */
-function shareOutEngines(
+/**
+ * Assigns an island's engines to models: first enough to hold each model, unplaced and large models first, then
+ * the remaining engines one by one to the model that is furthest below its goal.
+ */
+function assignEngines(
   goals: readonly ModelGoal[],
   engines: readonly PlacementEngine[],
   placed: ReadonlyMap<string, number>,
 ): ReadonlyMap<ModelGoal, readonly PlacementEngine[]> {
   const parts = new Map<ModelGoal, PlacementEngine[]>(goals.map((goal) => [goal, []]));
   const rest = [...engines].sort(compareEngines);
-  const getGap = (goal: ModelGoal) => {
+  const getShortfall = (goal: ModelGoal) => {
     const done =
       (placed.get(goal.model.id) ?? 0) + sumRates(parts.get(goal) ?? []) / goal.model.layers;
     return goal.goal > 0 ? (goal.goal - done) / goal.goal : -Infinity;
@@ -71,12 +74,12 @@
     return (placed.get(goal.model.id) ?? 0) > 0;
   }
   for (const goal of bySize) {
-    takeWholeModel(goal.model, rest, parts.get(goal) as PlacementEngine[]);
+    takeEnginesForModel(goal.model, rest, parts.get(goal) as PlacementEngine[]);
   }
   const fitting = goals.filter((goal) => (parts.get(goal)?.length ?? 0) > 0);
   for (const engine of rest) {
     const able = fitting.filter(({ model }) => countFittingLayers(model, engine) > 0);
-    const [neediest] = [...able].sort((a, b) => getGap(b) - getGap(a));
+    const [neediest] = [...able].sort((a, b) => getShortfall(b) - getShortfall(a));
     if (neediest) {
       parts.get(neediest)?.push(engine);
     }
@@ -84,8 +87,8 @@
   return parts;
 }
 
-/** Moves the slowest engines that together hold a model from `rest`; none if they do not. */
-function takeWholeModel(
+/** Moves the first engines of `rest` that together can hold a model to `taken`; none if they cannot. */
+function takeEnginesForModel(
   model: PlacementModel,
   rest: PlacementEngine[],
   taken: PlacementEngine[],
@@ -113,7 +116,7 @@
   );
 }
 
-/** The best cut of a model over some engines; null if it does not fit into them. */
+/** The best partition of a model over the given engines; null if the model does not fit. */
 function createColumn(
   goal: ModelGoal,
   island: string,
@@ -121,10 +124,10 @@
 ): LayoutColumn | null {
   const most = Math.min(MAX_STAGES, engines.length, goal.model.layers);
   const counts = Array.from({ length: most }, (_, i) => i + 1);
-  const starts = counts
-    .flatMap((count) => [spreadEvenly(engines, count), keepKindsTogether(engines, count)])
+  const candidates = counts
+    .flatMap((count) => [spreadEvenly(engines, count), groupByMemory(engines, count)])
     .flatMap((groups) => toColumn(goal.model, island, groups) ?? []);
-  const improved = selectBest(goal, starts, IMPROVED_STARTS).map(improveColumn);
+  const improved = selectBest(goal, candidates, MAX_IMPROVED_COLUMNS).map(improveColumn);
   return selectBest(goal, improved, 1)[0] ?? null;
 }
 
@@ -140,7 +143,7 @@
     .map(({ column }) => column);
 }
 
-/** The fastest first, each into the group that is the slowest so far. */
+/** Adds engines in descending order of speed, each to the group that is slowest so far. */
 function spreadEvenly(engines: readonly PlacementEngine[], count: number): Groups {
   const groups: PlacementEngine[][] = Array.from({ length: count }, () => []);
   const sums = groups.map(() => 0);
@@ -152,8 +155,11 @@
   return groups;
 }
 
-/** Engines of like memory in one group, so that a small one does not hold back large ones. */
-function keepKindsTogether(engines: readonly PlacementEngine[], count: number): Groups {
+/**
+ * Groups engines that are adjacent in the given order, by descending memory, into groups of about equal speed.
+ * All engines of a stage hold the same layers, so a small engine would limit the large ones in its group.
+ */
+function groupByMemory(engines: readonly PlacementEngine[], count: number): Groups {
   const share = sumRates(engines) / count;
   const groups: PlacementEngine[][] = [[]];
   let sum = 0;
@@ -168,17 +174,17 @@
   return groups;
 }
 
-/** Moves and swaps engines between groups of a small column while that makes it faster. */
+/** Moves and swaps engines between the groups of a small column while that improves it. */
 function improveColumn(start: LayoutColumn): LayoutColumn {
   const { model, island } = start;
   const count = start.stages.reduce((sum, { engines }) => sum + engines.length, 0);
   let best = start;
-  for (let i = 0; count <= MAX_SWAPPED_ENGINES && i < MAX_SWAPS; i++) {
+  for (let i = 0; count <= MAX_SWAPPED_ENGINES && i < MAX_IMPROVEMENTS; i++) {
     const known = best;
     const next = listChanges(known.stages.map(({ engines }) => engines))
       .flatMap((groups) => toColumn(model, island, groups) ?? [])
-      .reduce((a, b) => (getWorth(b) > getWorth(a) ? b : a), known);
-    if (getWorth(next) <= getWorth(known) * LEAST_IMPROVEMENT) {
+      .reduce((a, b) => (getColumnValue(b) > getColumnValue(a) ? b : a), known);
+    if (getColumnValue(next) <= getColumnValue(known) * MIN_IMPROVEMENT_FACTOR) {
       return known;
     }
     best = next;
@@ -186,7 +192,7 @@
   return best;
 }
 
-function getWorth(column: LayoutColumn): number {
+function getColumnValue(column: LayoutColumn): number {
   const { tokensPerSecond, evenness, afterLoss } = getColumnRates(column);
   return tokensPerSecond + 0.01 * evenness + 0.01 * afterLoss;
 }
@@ -196,7 +202,7 @@
   return stages && { model, island, stages };
 }
 
-/** Every move of one engine to another group, and every swap of two of unlike speed. */
+/** Each move of an engine to another group and each swap of two of unequal speed, one engine per kind. */
 function listChanges(groups: Groups): readonly Groups[] {
   const changes: Groups[] = [];
   const replace = (
@@ -214,12 +220,12 @@
   groups.forEach((from, i) => {
     groups.forEach((to, j) => {
       if (i !== j) {
-        firstOfKinds(from).forEach((a) => {
+        pickOnePerKind(from).forEach((a) => {
           const left = from.filter((engine) => engine !== a);
           if (left.length > 0) {
             replace(i, j, left, [...to, a]);
           }
-          firstOfKinds(i < j ? to : []).forEach((b) => {
+          pickOnePerKind(i < j ? to : []).forEach((b) => {
             if (getRate(a) !== getRate(b)) {
               replace(i, j, [...left, b], [...to.filter((engine) => engine !== b), a]);
             }
@@ -231,8 +237,8 @@
   return changes;
 }
 
-/** One engine of each speed and memory. */
-function firstOfKinds(engines: readonly PlacementEngine[]): readonly PlacementEngine[] {
+/** One engine for each combination of speed and memory. */
+function pickOnePerKind(engines: readonly PlacementEngine[]): readonly PlacementEngine[] {
   const kinds = new Map(
     [...engines]
       .reverse()
--- a/packages/placement/src/PlacementGoals.ts
+++ b/packages/placement/src/PlacementGoals.ts
@@ -1,4 +1,4 @@
-/** How much of the engines each model should have: its minimum first, the rest by weight. */
+/** Throughput goals of the models: minimums first, the remaining capacity by weight. */
 import type {
   ModelGoal,
   PlacementEngine,
@@ -6,12 +6,12 @@
   PlacementState,
 } from './PlacementTypes.js';
 
-/** Bytes of one layer of the version that is to be served. */
+/** Bytes of one layer of a version, by default the one to be served; infinite if the version is unknown. */
 export function getLayerBytes(model: PlacementModel, version = model.serve): number {
   return model.versions.find(({ id }) => id === version)?.layerBytes ?? Infinity;
 }
 
-/** Layers of a model that fit into an engine. */
+/** Layers of a model that fit in an engine's memory for weights. */
 export function countFittingLayers(model: PlacementModel, engine: PlacementEngine): number {
   const fitting = Math.floor(engine.facts.weightBytes / getLayerBytes(model));
   return Math.min(model.layers, fitting);
@@ -25,7 +25,7 @@
   return engines.reduce((sum, engine) => sum + getRate(engine), 0);
 }
 
-/** Goals in tokens a second that together use every usable engine wholly. */
+/** Goals in tokens per second that together use the full rate of all usable engines. */
 export function createGoals(state: PlacementState): readonly ModelGoal[] {
   const serves = state.manifest.getDomain(state.domain)?.serves ?? [];
   const demands = serves.flatMap((demand) => {
--- a/packages/placement/src/PlacementGrouping.ts
+++ b/packages/placement/src/PlacementGrouping.ts
@@ -1,44 +1,47 @@
 /**
- * Finds how a row of engines is best cut into groups that hold the same layers: the cut that holds all layers
- * with the fewest engines that stand alone in their group, and then in the fewest groups.
+ * Partitions a sequence of engines into groups whose engines all hold the same layers. Finds the partition that
+ * holds all layers with the fewest engines alone in their group and, among equals, the fewest groups.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 
-/** Engines next to each other in the row, and the layers that each of them holds. */
+/** The size of a group of adjacent engines, and the number of layers that they all hold. */
 export interface GroupSize {
   readonly size: number;
   readonly layers: number;
 }
 
-/** Layers that `size` engines from the one at `first` on can hold, each of them all. */
+/** Number of layers that each of `size` engines from index `first` on can hold as one group. */
 export type CountGroupLayers = (first: number, size: number) => number;
 
-/** The best way found to hold a number of layers with the first engines of the row. */
+/** The best partition found of a prefix of the sequence that holds a given number of layers. */
 interface PartialGrouping {
-  /** Engines whose layers no other holds. */
-  readonly alone: number;
+  /** Engines that are alone in their group. */
+  readonly soleHolders: number;
   readonly groups: number;
   readonly before: PartialGrouping | null;
   readonly last: GroupSize | null;
 }
 
-/** The best way for each number of layers that the first engines of the row can hold. */
+/** The best partition of a prefix of the sequence, by the number of layers that it holds. */
 type Row = Map<number, PartialGrouping>;
 
-/** Groups of `mostEngines` at the most. Null if the engines cannot hold the layers. */
+/**
+ * Finds the best partition by dynamic programming, with at most `maxEngines` engines per group; null if the
+ * engines cannot hold the layers.
+ */
 export function findGrouping(
   engineCount: number,
-  mostEngines: number,
+  maxEngines: number,
   layerCount: number,
   countLayers: CountGroupLayers,
 ): readonly GroupSize[] | null {
-  const empty: PartialGrouping = { alone: 0, groups: 0, before: null, last: null };
+  const empty: PartialGrouping = { soleHolders: 0, groups: 0, before: null, last: null };
   const rows: Row[] = [new Map([[0, empty]])];
   for (let end = 1; end <= engineCount; end++) {
     const row: Row = new Map();
-    for (let size = 1; size <= Math.min(mostEngines, end); size++) {
+    for (let size = 1; size <= Math.min(maxEngines, end); size++) {
       const before = rows[end - size];
-      invariant(before, 'shorter rows are known');
+      invariant(before, 'rows of shorter prefixes must be computed first');
       addGroup(row, before, { size, layers: countLayers(end - size, size) }, layerCount);
     }
     rows.push(row);
@@ -47,7 +50,7 @@
   return best ? listGroups(best) : null;
 }
 
-/** Adds a group behind every partial cut of the engines before it. */
+/** Extends every partition of the preceding engines by a group. */
 function addGroup(row: Row, before: Row, last: GroupSize, layerCount: number): void {
   if (last.layers <= 0) {
     return;
@@ -55,7 +58,7 @@
   before.forEach((partial, held) => {
     const layers = Math.min(layerCount, held + last.layers);
     const found: PartialGrouping = {
-      alone: partial.alone + (last.size === 1 ? 1 : 0),
+      soleHolders: partial.soleHolders + (last.size === 1 ? 1 : 0),
       groups: partial.groups + 1,
       before: partial,
       last,
@@ -68,7 +71,7 @@
 }
 
 function isBetter(a: PartialGrouping, b: PartialGrouping): boolean {
-  return a.alone === b.alone ? a.groups < b.groups : a.alone < b.alone;
+  return a.soleHolders === b.soleHolders ? a.groups < b.groups : a.soleHolders < b.soleHolders;
 }
 
 function listGroups(best: PartialGrouping): readonly GroupSize[] {
--- a/packages/placement/src/PlacementGroups.ts
+++ b/packages/placement/src/PlacementGroups.ts
@@ -1,8 +1,8 @@
 /**
- * Cuts one model's layers over the engines of a failure domain so that most engines can be spared. Engines of
- * like memory form a group, and all engines of a group hold the same layers: any of them can take any other's
- * place in a chain. With one holder a layer, each engine that is lost, released or restarted ends every answer
- * of its domain, which shows as seconds in which the whole domain serves nothing.
+ * Partitions one model's layers over the engines of a failure domain so that few engines are the only holder of
+ * a layer. Engines of similar memory form a group, and all engines of a group hold the same layers, so any of
+ * them can replace another in a chain. With one holder per layer, each engine that is lost, released or
+ * restarted ends every answer of its domain, and the whole domain serves nothing for seconds.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
@@ -11,52 +11,54 @@
 import type { RangeEngine, RangeModel, RangePlan } from './PlacementRanges.js';
 import { MAX_WEIGHT_SHARE } from './PlacementRanges.js';
 
-/** A model, with what its requests take. */
+/** A model and the resources that its requests take. */
 export interface GroupModel extends RangeModel {
-  /** KV cache of one token over all layers, in bytes. */
+  /** KV-cache bytes per token over all layers. */
   readonly kvTokenBytes: number;
   readonly usualPromptTokens: number;
   readonly usualAnswerTokens: number;
-  /** Requests that an engine takes at once as the first of a chain. */
+  /** Concurrent requests that an engine accepts as the first of a chain. */
   readonly slots: number;
 }
 
-/** Engines that hold the same layers. */
+/** Engines that all hold the same layers, and the number of those layers. */
 export interface EngineGroup {
   readonly engines: readonly RangeEngine[];
   readonly layers: number;
 }
 
-/** A whole domain cut into groups, in the order of the layers. */
+/** The groups of a domain, which together hold all layers, in the order of the layers. */
 export interface GroupLayout {
   readonly groups: readonly EngineGroup[];
-  /** Requests of the usual size that fit at the tightest group at once, one of its engines gone. */
+  /** Concurrent requests of the usual size that fit in the group with the least headroom. */
   readonly requests: number;
 }
 
 /**
- * Requests for which every group must keep room when one of its engines is gone, as a share of what fits
- * beside one copy of the weights. A second holder without such room refuses what the first one ran when that is lost.
+ * Every group must have KV cache for this share of the requests that would fit beside a single copy of the
+ * weights, even after it lost its largest engine. Without that headroom, a second holder refuses the requests
+ * that a lost first one was running.
  */
-const ROOM_SHARE = 0.25;
+const HEADROOM_SHARE = 0.25;
 /**
- * The same as a share of what a first engine takes at once, for domains with little memory: there the share above
- * would leave less room than is used at ordinary load.
+ * The same minimum as a share of `slots`. It applies in domains with little memory, where `HEADROOM_SHARE`
+ * alone would leave less KV cache than ordinary load uses.
  */
 const SLOT_SHARE = 0.45;
 /**
- * An engine that stands alone must hold so many times the requests that a group keeps room for without its
- * largest engine. Groups that have lost none hold nearly twice as many, so engines alone would be full first.
+ * An engine alone in its group must fit this many times the requests that other groups must fit without their
+ * largest engine. Groups that have lost no engine fit nearly twice that minimum, so an engine alone that only
+ * met it would be the first to fill up.
  */
-const LONE_SHARE = 1.5;
-/** More stages than engines accept in one chain. */
-const MOST_STAGES = 32;
-/** Halvings of the interval in which the best room lies: enough for one part in a million. */
-const SEARCH_STEPS = 20;
+const SOLE_HOLDER_FACTOR = 1.5;
+/** Most groups in a layout: engines accept no more stages than this in one chain. */
+const MAX_STAGES = 32;
+/** Bisection steps in the search for the best headroom: enough for a precision of one in a million. */
+const BISECTION_STEPS = 20;
 
 /**
- * The layout that leaves the room that requests need and the fewest engines whose layers no other holds, with
- * `mostCopies` of each layer at the most; null if no engine can be spared.
+ * The layout that has the KV cache that requests need and the fewest engines alone in their group, with at most
+ * `mostCopies` holders per layer; null if there is none, or if every engine would be alone in its group.
  */
 export function createGroupLayout(
   engines: readonly RangeEngine[],
@@ -67,20 +69,20 @@
   const memory = sorted.reduce((sum, { memoryBytes }) => sum + memoryBytes, 0);
   const weights = model.layers * model.layerBytes;
   const requestBytes = getRequestBytes(model);
-  const singleRequests = (memory - weights) / (model.layers * requestBytes);
-  const needed = Math.max(ROOM_SHARE * singleRequests, SLOT_SHARE * model.slots);
+  const singleCopyRequests = (memory - weights) / (model.layers * requestBytes);
+  const neededRequests = Math.max(HEADROOM_SHARE * singleCopyRequests, SLOT_SHARE * model.slots);
   const grouping = findGrouping(sorted.length, mostCopies, model.layers, (first, size) =>
-    countLayers(sorted.slice(first, first + size), model, needed * requestBytes),
+    countGroupLayers(sorted.slice(first, first + size), model, neededRequests * requestBytes),
   );
-  if (!grouping || grouping.length > MOST_STAGES || grouping.every(({ size }) => size === 1)) {
+  if (!grouping || grouping.length > MAX_STAGES || grouping.every(({ size }) => size === 1)) {
     return null;
   }
-  const groups = orderGroups(evenOut(cutBySizes(sorted, grouping), model));
-  const room = Math.min(...groups.map((group) => getGroupRoom(group, model)));
-  return { groups, requests: room / requestBytes };
+  const groups = orderGroups(balanceLayers(splitBySizes(sorted, grouping), model));
+  const headroom = Math.min(...groups.map((group) => getGroupHeadroom(group, model)));
+  return { groups, requests: headroom / requestBytes };
 }
 
-/** What each engine of a layout is to hold. */
+/** The ranges that the engines of a layout should hold. */
 export function createGroupPlan({ groups }: GroupLayout): RangePlan {
   const plan = new Map<EngineId, LayerRange>();
   let first = 0;
@@ -92,7 +94,7 @@
   return plan;
 }
 
-/** KV cache for each of `count` layers at an engine, in bytes. */
+/** Headroom of an engine that holds `count` layers: the bytes left for KV cache per layer. */
 export function getEngineHeadroom(
   { memoryBytes }: Pick<RangeEngine, 'memoryBytes'>,
   count: number,
@@ -101,23 +103,23 @@
   return memoryBytes / count - layerBytes;
 }
 
-/** KV cache that a request of the usual size takes for each layer. */
+/** KV-cache bytes per layer of a request of the usual size. */
 function getRequestBytes(model: GroupModel): number {
   const tokens = model.usualPromptTokens + model.usualAnswerTokens;
   return (model.kvTokenBytes * tokens) / model.layers;
 }
 
-/** Largest memory first, so that engines next to each other are alike. */
+/** Sorts by descending memory, so that adjacent engines are similar. */
 function sortByMemory(engines: readonly RangeEngine[]): readonly RangeEngine[] {
   return [...engines].sort((a, b) => b.memoryBytes - a.memoryBytes || (a.id < b.id ? -1 : 1));
 }
 
-/** Most engines first: what the first of a chain takes at once bounds what its domain runs. */
+/** Sorts larger groups first: the slots of a chain's first group limit how many requests its domain runs. */
 function orderGroups(groups: readonly EngineGroup[]): readonly EngineGroup[] {
   return [...groups].sort((a, b) => b.engines.length - a.engines.length);
 }
 
-function cutBySizes(
+function splitBySizes(
   sorted: readonly RangeEngine[],
   grouping: readonly GroupSize[],
 ): readonly EngineGroup[] {
@@ -129,55 +131,55 @@
   });
 }
 
-/** Engines of a group on which one may count; one that stands alone is counted on. */
-function listLeft(engines: readonly RangeEngine[]): readonly RangeEngine[] {
+/** Engines left in a group after it lost its largest one; an engine alone in its group stays. */
+function listSurvivors(engines: readonly RangeEngine[]): readonly RangeEngine[] {
   return engines.length > 1 ? sortByMemory(engines).slice(1) : engines;
 }
 
-/** Layers that a group can hold with `room` for each of them when its largest engine is gone. */
-function countLayers(
+/** Layers that a group can hold with at least `headroom`; see `getGroupHeadroom`. */
+function countGroupLayers(
   engines: readonly RangeEngine[],
   { layerBytes }: RangeModel,
-  room: number,
+  headroom: number,
 ): number {
-  const left = listLeft(engines);
-  const memory = left.reduce((sum, { memoryBytes }) => sum + memoryBytes, 0);
-  const least = Math.min(...engines.map(({ memoryBytes }) => memoryBytes));
+  const survivors = listSurvivors(engines);
+  const memory = survivors.reduce((sum, { memoryBytes }) => sum + memoryBytes, 0);
+  const smallest = Math.min(...engines.map(({ memoryBytes }) => memoryBytes));
   return Math.min(
-    Math.floor(memory / (room * getRoomShare(engines) + left.length * layerBytes)),
-    Math.floor((MAX_WEIGHT_SHARE * least) / layerBytes),
+    Math.floor(memory / (headroom * getHeadroomFactor(engines) + survivors.length * layerBytes)),
+    Math.floor((MAX_WEIGHT_SHARE * smallest) / layerBytes),
   );
 }
 
-/** The same groups with their layers shared out so that the tightest has the most room. */
-function evenOut(groups: readonly EngineGroup[], model: RangeModel): readonly EngineGroup[] {
+/** Redistributes layers among the groups so that the smallest headroom of any group is maximal. */
+function balanceLayers(groups: readonly EngineGroup[], model: RangeModel): readonly EngineGroup[] {
   let low = 0;
-  let high = Math.max(...groups.map((group) => getGroupRoom(group, model)));
+  let high = Math.max(...groups.map((group) => getGroupHeadroom(group, model)));
   let best = groups;
-  for (let step = 0; step < SEARCH_STEPS; step++) {
-    const room = (low + high) / 2;
+  for (let step = 0; step < BISECTION_STEPS; step++) {
+    const headroom = (low + high) / 2;
     const found = groups.map(({ engines }) => ({
       engines,
-      layers: countLayers(engines, model, room),
+      layers: countGroupLayers(engines, model, headroom),
     }));
     if (sumLayers(found) >= model.layers) {
       best = found;
-      low = room;
+      low = headroom;
     } else {
-      high = room;
+      high = headroom;
     }
   }
   return trimLayers(best, model);
 }
 
-/** Takes layers that are too many from the tightest groups. */
+/** Removes surplus layers one by one, each from the group with the least headroom. */
 function trimLayers(groups: readonly EngineGroup[], model: RangeModel): readonly EngineGroup[] {
   const trimmed = [...groups];
   for (let extra = sumLayers(groups) - model.layers; extra > 0; extra--) {
-    const rooms = trimmed.map((group) => getGroupRoom(group, model));
-    const at = rooms.indexOf(Math.min(...rooms));
+    const headrooms = trimmed.map((group) => getGroupHeadroom(group, model));
+    const at = headrooms.indexOf(Math.min(...headrooms));
     const tightest = trimmed[at];
-    invariant(tightest, 'a layout has a tightest group');
+    invariant(tightest, 'a layout must have at least one group');
     trimmed[at] = { ...tightest, layers: tightest.layers - 1 };
   }
   return trimmed.filter(({ layers }) => layers > 0);
@@ -187,13 +189,19 @@
   return groups.reduce((sum, { layers }) => sum + layers, 0);
 }
 
-/** KV cache for each layer of a group whose largest engine is gone, in bytes. */
-function getGroupRoom({ engines, layers }: EngineGroup, model: RangeModel): number {
-  const left = listLeft(engines);
-  const room = left.reduce((sum, engine) => sum + getEngineHeadroom(engine, layers, model), 0);
-  return room / getRoomShare(engines);
+/**
+ * Headroom of a group: the sum of its engines' headrooms after it lost its largest one. For an engine alone in
+ * its group, the headroom is divided by `SOLE_HOLDER_FACTOR`.
+ */
+function getGroupHeadroom({ engines, layers }: EngineGroup, model: RangeModel): number {
+  const survivors = listSurvivors(engines);
+  const headroom = survivors.reduce(
+    (sum, engine) => sum + getEngineHeadroom(engine, layers, model),
+    0,
+  );
+  return headroom / getHeadroomFactor(engines);
 }
 
-function getRoomShare(engines: readonly RangeEngine[]): number {
-  return engines.length === 1 ? LONE_SHARE : 1;
+function getHeadroomFactor(engines: readonly RangeEngine[]): number {
+  return engines.length === 1 ? SOLE_HOLDER_FACTOR : 1;
 }
--- a/packages/placement/src/PlacementKept.ts
+++ b/packages/placement/src/PlacementKept.ts
@@ -1,19 +1,20 @@
-/** A layout that keeps the cuts in use, and moves as few engines as bring enough. */
+/** Creates a layout that keeps the stage ranges in use and moves an engine only if the gain is large enough. */
 import { findStageRanges } from './PlacementCuts.js';
 import { countFittingLayers, getRate } from './PlacementGoals.js';
 import { getStageRate, scoreLayout } from './PlacementScore.js';
 import type { Layout, LayoutColumn, ModelGoal, PlacementEngine } from './PlacementTypes.js';
 
-/** Least gain for which an engine that serves elsewhere is moved, as a share of all engines' rate. */
-const LEAST_GAIN = 0.015;
+/** Minimum gain in score for which a serving engine is moved, as a share of the total rate of all engines. */
+const MIN_RELOCATION_GAIN = 0.015;
 const MAX_RELOCATIONS = 24;
 
-interface Place {
+/** Indexes of a column in a layout and of a stage in that column. */
+interface StageRef {
   readonly column: number;
   readonly stage: number;
 }
 
-/** Keeps the cuts in use; engines that hold nothing of them go where they bring most. */
+/** Keeps the stage ranges in use; engines that hold none of them go where they raise the score most. */
 export function createKeptLayout(
   goals: readonly ModelGoal[],
   islands: ReadonlyMap<string, readonly PlacementEngine[]>,
@@ -28,7 +29,7 @@
   const filled = free
     .sort((a, b) => getRate(b.engine) - getRate(a.engine))
     .reduce(
-      (layout: Layout, { island, engine }) => placeFree(goals, layout, island, engine),
+      (layout: Layout, { island, engine }) => assignFreeEngine(goals, layout, island, engine),
       columns,
     );
   return relocate(goals, filled);
@@ -41,8 +42,8 @@
 ): LayoutColumn | null {
   const { model } = goal;
   const held = engines.filter(({ expected }) => expected?.model === model.id);
-  const cuts = findStageRanges(model, held);
-  const stages = cuts.map((layers) => ({
+  const ranges = findStageRanges(model, held);
+  const stages = ranges.map((layers) => ({
     layers,
     engines: held.filter(
       ({ expected }) =>
@@ -54,17 +55,21 @@
     : null;
 }
 
-function addEngine(layout: Layout, { column, stage }: Place, engine: PlacementEngine): Layout {
+function addEngine(layout: Layout, { column, stage }: StageRef, engine: PlacementEngine): Layout {
   return editStage(layout, { column, stage }, (engines) => [...engines, engine]);
 }
 
-function removeEngine(layout: Layout, { column, stage }: Place, engine: PlacementEngine): Layout {
+function removeEngine(
+  layout: Layout,
+  { column, stage }: StageRef,
+  engine: PlacementEngine,
+): Layout {
   return editStage(layout, { column, stage }, (engines) => engines.filter((e) => e !== engine));
 }
 
 function editStage(
   layout: Layout,
-  place: Place,
+  place: StageRef,
   edit: (engines: readonly PlacementEngine[]) => readonly PlacementEngine[],
 ): Layout {
   return layout.map((column, c) =>
@@ -79,8 +84,12 @@
   );
 }
 
-/** The slowest stage of each column of an island that an engine could join. */
-function listPlaces(layout: Layout, island: string, engine: PlacementEngine): readonly Place[] {
+/** For each column of an island, the slowest stage whose layers fit in an engine, if there is one. */
+function listStageOptions(
+  layout: Layout,
+  island: string,
+  engine: PlacementEngine,
+): readonly StageRef[] {
   return layout.flatMap((column, c) => {
     if (column.island !== island) {
       return [];
@@ -97,13 +106,13 @@
   });
 }
 
-function placeFree(
+function assignFreeEngine(
   goals: readonly ModelGoal[],
   layout: Layout,
   island: string,
   engine: PlacementEngine,
 ): Layout {
-  const options = listPlaces(layout, island, engine).map((place) =>
+  const options = listStageOptions(layout, island, engine).map((place) =>
     addEngine(layout, place, engine),
   );
   return options.reduce(
@@ -115,15 +124,15 @@
   ).layout;
 }
 
-/** Moves engines one by one to slower stages while each brings enough. */
+/** Moves engines one by one to slow stages while each move brings the minimum gain. */
 function relocate(goals: readonly ModelGoal[], start: Layout): Layout {
   let layout = start;
   let score = scoreLayout(goals, layout);
   for (let i = 0; i < MAX_RELOCATIONS; i++) {
-    let best = { layout, score: score + LEAST_GAIN };
+    let best = { layout, score: score + MIN_RELOCATION_GAIN };
     for (const { place, island, engine } of listMovable(layout)) {
       const without = removeEngine(layout, place, engine);
-      for (const target of listPlaces(without, island, engine)) {
+      for (const target of listStageOptions(without, island, engine)) {
         const option = addEngine(without, target, engine);
         const optionScore = scoreLayout(goals, option);
         if (optionScore > best.score) {
@@ -139,7 +148,7 @@
   return layout;
 }
 
-/** One engine of each kind from each stage: the least busy, so that the fewest requests move. */
+/** The engine of each kind in each stage with the fewest running requests, so that few requests have to move. */
 function listMovable(layout: Layout) {
   return layout.flatMap(({ island, stages }, column) =>
     stages.flatMap(({ engines }, stage) => {
@@ -156,24 +165,24 @@
   );
 }
 
-/** The same layout with engines of one kind exchanged so that the most keep what they hold. */
+/** Swaps interchangeable engines in a layout so that as many as possible keep the layers that they hold. */
 export function keepHoldings(layout: Layout): Layout {
   const places = layout.flatMap(({ model, island, stages }, column) =>
     stages.flatMap(({ layers, engines }, stage) =>
       engines.map((engine) => ({ model, island, layers, column, stage, engine })),
     ),
   );
-  const kindOf = (island: string, { facts }: PlacementEngine) =>
+  const getKind = (island: string, { facts }: PlacementEngine) =>
     `${island} ${facts.accelerator} ${facts.weightBytes} ${facts.decodeLayerTokensPerSecond}`;
   const free = new Map<string, PlacementEngine[]>();
   for (const { island, engine } of places) {
-    const kind = kindOf(island, engine);
+    const kind = getKind(island, engine);
     free.set(kind, [...(free.get(kind) ?? []), engine]);
   }
   free.forEach((engines) => engines.sort((a, b) => (a.facts.id < b.facts.id ? -1 : 1)));
-  const take = (place: (typeof places)[number], isLike: (engine: PlacementEngine) => boolean) => {
-    const engines = free.get(kindOf(place.island, place.engine)) ?? [];
-    const at = engines.findIndex(isLike);
+  const take = (place: (typeof places)[number], isMatch: (engine: PlacementEngine) => boolean) => {
+    const engines = free.get(getKind(place.island, place.engine)) ?? [];
+    const at = engines.findIndex(isMatch);
     return at < 0 ? undefined : engines.splice(at, 1)[0];
   };
   const kept = places.map((place) =>
--- a/packages/placement/src/PlacementMoves.ts
+++ b/packages/placement/src/PlacementMoves.ts
@@ -1,4 +1,4 @@
-/** Which engines are to change what they hold, why, in which version and in which order. */
+/** Determines which engines change what they hold, for which reason, to which version and in which order. */
 import type { Holding } from '@skylarksail/core/CoreEngine';
 import { EngineDuty } from '@skylarksail/core/CoreEngine';
 import type { EngineId, LayerRange, ModelId, VersionId } from '@skylarksail/core/CoreTypes';
@@ -17,14 +17,14 @@
 } from './PlacementTypes.js';
 import { MOVE_REASONS_BY_URGENCY, MoveReason } from './PlacementTypes.js';
 
-/** Rounding of sums of rates. */
-const ROUNDING = 1e-6;
+/** Tolerance for rounding errors in sums of rates. */
+const ROUNDING_TOLERANCE = 1e-6;
 
 export function isSameRange(a: LayerRange, b: LayerRange): boolean {
   return a.first === b.first && a.end === b.end;
 }
 
-/** Whether two holdings are the same; the order of adapters does not count. */
+/** Whether two holdings are equal; the order of adapters does not matter. */
 export function isSameHolding(a: Holding | null, b: Holding | null): boolean {
   if (a === null || b === null) {
     return a === b;
@@ -37,14 +37,14 @@
   );
 }
 
-/** Whether going from one holding to the other loads no layers. */
+/** Whether changing from one holding to the other requires no layers to be loaded. */
 export function isSameWeights(a: Holding | null, b: Holding): boolean {
   return (
     a !== null && a.model === b.model && a.version === b.version && isSameRange(a.layers, b.layers)
   );
 }
 
-/** What each engine of a layout is to hold in the end. */
+/** The final holding of each engine; engines outside the layout keep their expected one. */
 export function createTargets(
   state: PlacementState,
   layout: Layout,
@@ -66,47 +66,49 @@
   return { model: model.id, version, adapters: model.adapters, layers, duty: EngineDuty.Mixed };
 }
 
-/** Orders the moves towards the targets and holds back those that would leave too little. */
+/** Sorts the moves towards the targets and blocks those that would leave too little capacity. */
 export function chooseMoves(
   state: PlacementState,
   goals: readonly ModelGoal[],
   targets: ReadonlyMap<EngineId, Holding | null>,
 ): AdmittedMoves {
-  const outlook = createOutlook(state, goals);
+  const expectedState = createExpectedState(state, goals);
   const planned = state.engines.flatMap((engine) => {
     const want = targets.get(engine.facts.id) ?? null;
     return engine.isUsable && !isSameHolding(engine.expected, want)
-      ? [createMove(outlook, engine, want)]
+      ? [createMove(expectedState, engine, want)]
       : [];
   });
   return admitMoves(state, goals, orderMoves(planned, state));
 }
 
-/** How the models will stand once the orders under way are done. */
-interface Outlook {
+/** The state of the models once the orders in progress are done. */
+interface ExpectedState {
   readonly models: ReadonlyMap<ModelId, PlacementModel>;
-  readonly short: ReadonlySet<ModelId>;
+  readonly belowMinimum: ReadonlySet<ModelId>;
   readonly expected: readonly ServingEngine[];
 }
 
-function createOutlook(state: PlacementState, goals: readonly ModelGoal[]): Outlook {
+function createExpectedState(state: PlacementState, goals: readonly ModelGoal[]): ExpectedState {
   const expected = listExpected(state);
-  const short = goals.filter((goal) => isShort(goal, computeModelCapacity(goal.model, expected)));
+  const belowMinimum = goals.filter((goal) =>
+    isBelowMinimum(goal, computeModelCapacity(goal.model, expected)),
+  );
   return {
     models: new Map(goals.map(({ model }) => [model.id, model])),
-    short: new Set(short.map(({ model }) => model.id)),
+    belowMinimum: new Set(belowMinimum.map(({ model }) => model.id)),
     expected,
   };
 }
 
 function createMove(
-  outlook: Outlook,
+  expectedState: ExpectedState,
   engine: PlacementEngine,
   target: Holding | null,
 ): PlannedMove {
-  const reason = findReason(outlook, engine, target);
-  const want = reason === MoveReason.Restore ? chooseVersion(outlook, target) : target;
-  const model = outlook.models.get(want?.model ?? '');
+  const reason = findReason(expectedState, engine, target);
+  const want = reason === MoveReason.Restore ? chooseVersion(expectedState, target) : target;
+  const model = expectedState.models.get(want?.model ?? '');
   const layers = want ? want.layers.end - want.layers.first : 0;
   const isLoad = want !== null && model !== undefined && !isSameWeights(engine.expected, want);
   return {
@@ -121,7 +123,7 @@
 }
 
 function findReason(
-  { short }: Outlook,
+  { belowMinimum }: ExpectedState,
   { expected }: PlacementEngine,
   want: Holding | null,
 ): MoveReasonName {
@@ -133,81 +135,87 @@
   if (isVersion) {
     return MoveReason.Version;
   }
-  if (want && short.has(want.model)) {
+  if (want && belowMinimum.has(want.model)) {
     return MoveReason.Restore;
   }
   return expected === null ? MoveReason.Join : MoveReason.Tune;
 }
 
-/** Whether a model has less than its minimum, or nothing. */
-function isShort({ minTokensPerSecond, goal }: ModelGoal, capacity: number): boolean {
-  return capacity <= 0 || capacity < Math.min(minTokensPerSecond, goal) * (1 - ROUNDING);
+/** Whether a model's capacity is zero or below its minimum. */
+function isBelowMinimum({ minTokensPerSecond, goal }: ModelGoal, capacity: number): boolean {
+  return capacity <= 0 || capacity < Math.min(minTokensPerSecond, goal) * (1 - ROUNDING_TOLERANCE);
 }
 
-/** Whether any model will have less than its minimum, or nothing, once the orders under way are done. */
+/** Whether any model's capacity will be zero or below its minimum once the orders in progress are done. */
 export function isAnyBelowMinimum(state: PlacementState, goals: readonly ModelGoal[]): boolean {
-  return createOutlook(state, goals).short.size > 0;
+  return createExpectedState(state, goals).belowMinimum.size > 0;
 }
 
-/** Engines as they will be once the orders under way are done. */
+/** Engines that will serve once the orders in progress are done. */
 function listExpected(state: PlacementState): readonly ServingEngine[] {
   return listServing(state.engines.map((engine) => ({ ...engine, holding: engine.expected })));
 }
 
 /**
- * The version that brings the most capacity back. Amid a change of versions that can be the old one:
- * its chain may lack one stage only, while no other engine holds the new one yet.
+ * Chooses the version that restores the most capacity. During a version change this can be the old one: its
+ * chain may lack only one stage, while no other engine holds the new version yet.
  */
-function chooseVersion({ models, expected }: Outlook, target: Holding | null): Holding | null {
+function chooseVersion(
+  { models, expected }: ExpectedState,
+  target: Holding | null,
+): Holding | null {
   const model = models.get(target?.model ?? '');
   if (!target || !model) {
     return target;
   }
   const versions = model.versions.map(({ id }) => id).filter((id) => id !== model.serve);
   const getGain = (version: VersionId) => {
-    const rates = expected.filter(({ holding }) => holding.version === version);
-    return fillStage(model, rates, target, version) - computeCapacity(model, version, rates);
+    const held = expected.filter(({ holding }) => holding.version === version);
+    return computeWithStage(model, held, target, version) - computeCapacity(model, version, held);
   };
-  const best = versions.reduce((a, b) => (getGain(b) > getGain(a) + ROUNDING ? b : a), model.serve);
+  const best = versions.reduce(
+    (a, b) => (getGain(b) > getGain(a) + ROUNDING_TOLERANCE ? b : a),
+    model.serve,
+  );
   return { ...target, version: best };
 }
 
-/** Capacity of a version if a stage were as fast as it needs to be. */
-function fillStage(
+/** Capacity of a version if the target's range of layers had unlimited speed. */
+function computeWithStage(
   model: PlacementModel,
   serving: readonly ServingEngine[],
   { layers }: Holding,
   version: VersionId,
 ): number {
-  const [some] = serving;
-  if (!some) {
+  const [sample] = serving;
+  if (!sample) {
     return 0;
   }
-  const facts = { ...some.engine.facts, decodeLayerTokensPerSecond: Number.MAX_SAFE_INTEGER };
-  const holding = { ...some.holding, model: model.id, version, layers };
+  const facts = { ...sample.engine.facts, decodeLayerTokensPerSecond: Number.MAX_SAFE_INTEGER };
+  const holding = { ...sample.holding, model: model.id, version, layers };
   return computeCapacity(model, version, [
     ...serving,
-    { engine: { ...some.engine, facts }, holding },
+    { engine: { ...sample.engine, facts }, holding },
   ]);
 }
 
 /**
- * The most urgent first; among changes of version those whose stage has the least of the new version,
- * so that a whole chain of it comes about as early as can be.
+ * Sorts moves by urgency and, among equally urgent ones, those to the slowest stage first, so that a version
+ * change gets a whole chain of the new version as early as possible.
  */
 function orderMoves(
   planned: readonly PlannedMove[],
   state: PlacementState,
 ): readonly PlannedMove[] {
   const done = new Map<string, number>();
-  const add = (stage: string, { layers }: Holding, engine: PlacementEngine) => {
+  const addRate = (stage: string, { layers }: Holding, engine: PlacementEngine) => {
     const rate = getRate(engine) / (layers.end - layers.first);
     done.set(stage, (done.get(stage) ?? 0) + rate);
   };
-  const getDone = ({ stage }: PlannedMove) => done.get(stage ?? '') ?? 0;
+  const getStageRate = ({ stage }: PlannedMove) => done.get(stage ?? '') ?? 0;
   state.engines.forEach((engine) => {
     if (engine.isUsable && engine.expected) {
-      add(getStageName(engine.expected), engine.expected, engine);
+      addRate(getStageName(engine.expected), engine.expected, engine);
     }
   });
   const rest = [...planned].sort(
@@ -223,12 +231,12 @@
       if (move.urgencyRank !== first.urgencyRank) {
         break;
       }
-      next = getDone(move) < getDone(next) - ROUNDING ? move : next;
+      next = getStageRate(move) < getStageRate(next) - ROUNDING_TOLERANCE ? move : next;
     }
     rest.splice(rest.indexOf(next), 1);
     ordered.push(next);
     if (next.want && next.stage !== null) {
-      add(next.stage, next.want, next.from);
+      addRate(next.stage, next.want, next.from);
     }
   }
   return ordered;
--- a/packages/placement/src/PlacementOrderTypes.ts
+++ b/packages/placement/src/PlacementOrderTypes.ts
@@ -1,23 +1,29 @@
-/** What the machine that sends orders is made of: its settings, state, events and effects. */
+/** Settings, state, events and effects of the state machine that sends orders to engines. */
 import type { EngineFacts, EngineLoad, Holding } from '@skylarksail/core/CoreEngine';
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { MoveReasonName, PlacementMove } from './PlacementTypes.js';
 
 export interface OrderSettings {
-  /** How long an order may wait at an engine before its start; the engine then drops it. */
+  /** How long an order may wait at an engine before it starts; the engine then drops it. */
   readonly validFor: Millis;
-  /** Longest time that an order may be under way to an engine, as far as we reckon. */
+  /** Assumed upper bound on the time from sending an order to its arrival. */
   readonly transit: Millis;
-  /** Age that a report may have. */
+  /** Upper bound on the age of a report. */
   readonly reportLag: Millis;
-  /** Longest time that an engine takes to load. */
+  /**
+   * Longest time that an engine takes to carry out an order, including loading. An engine without a
+   * report for this long is removed from the state.
+   */
   readonly loadTimeout: Millis;
-  /** An engine that is not told of for so long is gone. */
+  /** An engine without a report for this long counts as gone. */
   readonly goneAfter: Millis;
-  /** Pause after an order that failed; doubled with each further one. */
+  /** Delay after a failed order; doubled with each consecutive failure. */
   readonly backoff: Millis;
   readonly maxBackoff: Millis;
-  /** Failed orders in a row, or starts within the window, from which an engine is planned around. */
+  /**
+   * Consecutive failures, or restarts within `startsWindow`, from which plans leave an engine out until
+   * its backoff ends.
+   */
   readonly maxFailures: number;
   readonly maxStarts: number;
   readonly startsWindow: Millis;
@@ -36,31 +42,31 @@
   startsWindow: 300_000,
 };
 
-/** What an engine answered to an order. */
+/** An engine's answer to an order; `unknown` if none arrived. */
 export type OrderAnswer =
   | { readonly kind: 'done'; readonly holding: Holding | null }
   | { readonly kind: 'refused'; readonly highest: number }
   | { readonly kind: 'unknown' };
 
-/** An order as an engine takes it: the state that it shall reach. */
+/** An order to an engine: the state that the engine must reach. */
 export interface Order {
-  /** Fencing number of the lease and a count under it, as one number; see `createOrderNumber`. */
+  /** Combines the lease's fencing number and a count of orders under it; see `createOrderNumber`. */
   readonly number: number;
   readonly want: Holding | null;
   readonly validForMs: Millis;
 }
 
-/** An order that is not settled yet. */
+/** An order whose outcome is not settled yet. */
 export interface SentOrder {
   readonly number: number;
   readonly want: Holding | null;
   readonly reason: MoveReasonName;
   readonly sentAt: Millis;
-  /** No answer came; the engine's reports settle it. */
+  /** True if no answer arrived; the engine's reports then settle the order. */
   readonly isUnknown: boolean;
 }
 
-/** The last order that is known to be done. */
+/** An engine's last order that is known to be done. */
 export interface SettledOrder {
   readonly number: number;
   readonly holding: Holding | null;
@@ -68,7 +74,7 @@
   readonly bootId: string;
 }
 
-/** What is known of an engine. */
+/** What a lease holder knows about an engine. */
 export interface EngineRecord {
   readonly facts: EngineFacts;
   readonly load: EngineLoad;
@@ -76,20 +82,20 @@
   readonly reportedAt: Millis;
   readonly order: SentOrder | null;
   readonly settled: SettledOrder | null;
-  /** A move that waits for the weight store's budget. */
+  /** A move that waits for a grant from the weight store's rate budget. */
   readonly asked: PlacementMove | null;
   readonly failures: number;
   readonly backoffUntil: Millis;
-  /** Times of its restarts. */
+  /** Times of the engine's restarts within `startsWindow`. */
   readonly starts: readonly Millis[];
 }
 
-/** A lease as it was looked at just before a step; null if there is none that is safe to act under. */
+/** The lease as read just before a step; null in its place means that no lease is safe to act under. */
 export interface LeaseSnapshot {
   readonly fencing: number;
 }
 
-/** A lease with what is counted under it. */
+/** The lease in use, with the number of orders sent under it. */
 export interface HeldOrderLease {
   readonly fencing: number;
   readonly gainedAt: Millis;
@@ -100,18 +106,18 @@
   readonly domain: DomainId;
   readonly settings: OrderSettings;
   readonly lease: HeldOrderLease | null;
-  /** Highest fencing number that engines were seen to carry. */
+  /** Highest fencing number in any report or refusal of an engine. */
   readonly highestFencing: number;
-  /** Number of the last lease that was stepped down from; it is not acted under again. */
+  /** Fencing number of the last lease that was stepped down from; no order is sent under it again. */
   readonly droppedFencing: number;
   readonly engines: ReadonlyMap<EngineId, EngineRecord>;
 }
 
-/** A report of an engine. */
+/** An engine's report of its load, with routing's view of its health. */
 export interface EngineReport {
   readonly facts: EngineFacts;
   readonly load: EngineLoad;
-  /** False if routing has ejected it; left out if nothing is known against it. */
+  /** False if routing has ejected the engine; counts as true if omitted. */
   readonly isHealthy?: boolean;
 }
 
@@ -121,7 +127,7 @@
   | {
       readonly kind: 'planned';
       readonly moves: readonly PlacementMove[];
-      /** Engines that take orders whatever their number. */
+      /** Engines that do not check fencing numbers and accept any order. */
       readonly unfencedEngines: ReadonlySet<EngineId>;
     }
   | { readonly kind: 'weights-answered'; readonly engine: EngineId; readonly isGranted: boolean }
@@ -132,17 +138,22 @@
       readonly answer: OrderAnswer;
     };
 
-/** What became of an engine's order, or of the lease. */
+/** What happened to an engine's order or to the lease. */
 export const DecisionKind = {
   Ordered: 'ordered',
   Done: 'done',
+  /** No answer arrived, but a report shows that the order is done. */
   Settled: 'settled',
   Refused: 'refused',
   Unknown: 'unknown',
+  /** Reports show that the engine never started the order. */
   NotTaken: 'not-taken',
+  /** The engine finished the order but holds something else than ordered. */
   HalfFinished: 'half-finished',
+  /** The engine no longer holds what its last settled order specified. */
   Overwritten: 'overwritten',
   CrashLoop: 'crash-loop',
+  /** The engine has taken a later order. */
   Superseded: 'superseded',
   LeaseGained: 'lease-gained',
   LeaseLost: 'lease-lost',
@@ -151,7 +162,7 @@
 
 export type DecisionKindName = (typeof DecisionKind)[keyof typeof DecisionKind];
 
-/** A line of the log. */
+/** A decision as it is logged. Without an order, `number` is the lease's fencing number. */
 export interface PlacementDecision {
   readonly domain: DomainId;
   readonly kind: DecisionKindName;
@@ -177,15 +188,15 @@
   readonly effects: readonly OrdersEffect[];
 }
 
-/** Orders that one lease may send. Its fencing number and the count fit into an exact whole number. */
+/** Maximum number of orders under one lease, so that an order's number stays a safe integer. */
 export const ORDERS_PER_LEASE = 2 ** 20;
 
-/** A number that rises with the lease and, under one lease, with each order. */
+/** Creates a number that increases with each lease and, under one lease, with each order. */
 export function createOrderNumber(fencing: number, count: number): number {
   return fencing * ORDERS_PER_LEASE + count;
 }
 
-/** The lease's fencing number in an order's number. */
+/** Extracts the lease's fencing number from an order's number. */
 export function getOrderFencing(number: number): number {
   return Math.floor(number / ORDERS_PER_LEASE);
 }
--- a/packages/placement/src/PlacementOrders.ts
+++ b/packages/placement/src/PlacementOrders.ts
@@ -1,7 +1,7 @@
 /**
- * Sends the orders that bring a plan about, under a lease. Each step is told what a look at the lease
- * said just before it: nothing is ever sent on an older look, so a holder that was paused past its lease
- * finds it gone in the first step after it wakes.
+ * Sends the orders that carry out a plan, under a lease. Each step gets the lease as read just before it,
+ * and nothing is sent on an older reading: a holder that was paused past its lease finds the lease gone
+ * in the first step after it resumes.
  */
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type {
@@ -35,7 +35,7 @@
 } from './PlacementRecords.js';
 import type { PlacementEngine, PlacementMove } from './PlacementTypes.js';
 
-/** The time, and what the lease is at that time. */
+/** The current time, and the lease as read at that time. */
 export interface OrdersContext {
   readonly now: Millis;
   readonly lease: LeaseSnapshot | null;
@@ -52,31 +52,34 @@
   };
 }
 
-/** Applies one event; the lease is looked at first. */
+/** Applies one event, after updating the state to the current lease. */
 export function stepOrders(
   state: OrdersState,
   event: OrdersEvent,
   context: OrdersContext,
 ): OrdersStep {
-  const leased = followLease({ state, effects: [] }, context);
+  const leased = syncLease({ state, effects: [] }, context);
   switch (event.kind) {
     case 'tick':
       return settleAll(leased, context.now);
     case 'reported':
-      return settleAll(takeReports(leased, event.reports, context.now), context.now);
+      return settleAll(applyReports(leased, event.reports, context.now), context.now);
     case 'planned':
       return event.moves.reduce(
         (step, move) => startMove(step, move, event.unfencedEngines, context.now),
         leased,
       );
     case 'weights-answered':
-      return takeGrant(leased, event.engine, event.isGranted, context.now);
+      return handleWeightsAnswer(leased, event.engine, event.isGranted, context.now);
     default:
-      return takeAnswer(leased, event, context.now);
+      return handleOrderAnswer(leased, event, context.now);
   }
 }
 
-/** Engines as the planner is to see them. What is asked for or ordered is expected and serves nothing. */
+/**
+ * Lists engines as the planner sees them. An engine with a pending move or order serves nothing and is
+ * expected to hold the result.
+ */
 export function listPlacementEngines(
   { engines, settings }: OrdersState,
   now: Millis,
@@ -94,14 +97,17 @@
   });
 }
 
-/** Until when a new holder sends nothing to engines that ignore numbers. */
+/**
+ * End of the quiet period in which a new holder sends no orders to engines that ignore fencing numbers:
+ * until then the previous holder's last orders may still start there.
+ */
 export function getQuietUntil({ lease, settings }: OrdersState): Millis {
   return (lease?.gainedAt ?? 0) + settings.validFor + settings.transit;
 }
 
-function followLease(step: OrdersStep, { now, lease: look }: OrdersContext): OrdersStep {
+function syncLease(step: OrdersStep, { now, lease: snapshot }: OrdersContext): OrdersStep {
   const { lease, droppedFencing } = step.state;
-  const fencing = look && look.fencing > droppedFencing ? look.fencing : null;
+  const fencing = snapshot && snapshot.fencing > droppedFencing ? snapshot.fencing : null;
   if (fencing === (lease?.fencing ?? null)) {
     return step;
   }
@@ -109,19 +115,19 @@
   if (fencing === null) {
     return log({ ...step, state: { ...step.state, lease: null, engines } }, DecisionKind.LeaseLost);
   }
-  const held = { fencing, gainedAt: now, ordersSent: 0 };
-  const state = { ...step.state, lease: held, engines };
+  const newLease = { fencing, gainedAt: now, ordersSent: 0 };
+  const state = { ...step.state, lease: newLease, engines };
   return log({ ...step, state }, DecisionKind.LeaseGained);
 }
 
-function takeReports(step: OrdersStep, reports: readonly EngineReport[], now: Millis): OrdersStep {
+function applyReports(step: OrdersStep, reports: readonly EngineReport[], now: Millis): OrdersStep {
   const { settings } = step.state;
   const known = new Map(step.state.engines);
   const decisions: [EngineRecord, DecisionKindName][] = [];
   for (const report of reports) {
-    const before = known.get(report.facts.id);
-    const { record, decision } = before
-      ? noteReport(before, report, settings, now)
+    const previous = known.get(report.facts.id);
+    const { record, decision } = previous
+      ? noteReport(previous, report, settings, now)
       : { record: createRecord(report, now), decision: null };
     known.set(report.facts.id, record);
     if (decision) {
@@ -129,22 +135,23 @@
     }
   }
   const highest = Math.max(0, ...reports.map(({ load }) => getOrderFencing(load.orderNumber)));
-  const noted = decisions.reduce<OrdersStep>(
+  const logged = decisions.reduce<OrdersStep>(
     (next, [record, decision]) => log(next, decision, record),
     {
       ...step,
       state: { ...step.state, engines: known },
     },
   );
-  return noteFencing(noted, highest);
+  return handleSeenFencing(logged, highest);
 }
 
 /**
- * Steps down if an engine carries a number above our lease's: it lapsed, and somebody holds the next one.
- * Only a number that is new counts. The lease that is then asked for is newer than whatever was seen, and
- * an engine with a number that the platform never gave would otherwise stop its domain for ever.
+ * Steps down if an engine has a fencing number above that of the lease: the lease has lapsed, and another
+ * instance holds a later one. Only a number above all those seen before counts. The next lease is later
+ * than any number seen so far, and an engine with a number that the platform never issued would otherwise
+ * stop placement in its domain forever.
  */
-function noteFencing(step: OrdersStep, fencing: number): OrdersStep {
+function handleSeenFencing(step: OrdersStep, fencing: number): OrdersStep {
   const { state } = step;
   if (fencing <= state.highestFencing) {
     return step;
@@ -177,18 +184,18 @@
   return next;
 }
 
-/** Starts a move if an order may go to its engine now; else it is planned again later. */
+/** Starts a move if its engine may be sent an order now; otherwise a later plan includes it again. */
 function startMove(
   step: OrdersStep,
   move: PlacementMove,
-  unchecking: ReadonlySet<EngineId>,
+  unfencedEngines: ReadonlySet<EngineId>,
   now: Millis,
 ): OrdersStep {
   const { state } = step;
   const { lease } = state;
   const record = state.engines.get(move.engine);
-  const isQuiet = unchecking.has(move.engine) && now < getQuietUntil(state);
-  if (!lease || !record || isQuiet || !isFree(record, lease, now)) {
+  const isInQuietPeriod = unfencedEngines.has(move.engine) && now < getQuietUntil(state);
+  if (!lease || !record || isInQuietPeriod || !isAvailable(record, lease, now)) {
     return step;
   }
   if (move.bytes === 0) {
@@ -202,8 +209,8 @@
   };
 }
 
-/** Whether an engine has nothing under way and was reported since the lease began. */
-function isFree(record: EngineRecord, lease: HeldOrderLease, now: Millis): boolean {
+/** Whether an engine has no order, pending move or backoff, and was reported since the lease began. */
+function isAvailable(record: EngineRecord, lease: HeldOrderLease, now: Millis): boolean {
   return (
     !record.order &&
     !record.asked &&
@@ -212,14 +219,14 @@
   );
 }
 
-function takeGrant(
+function handleWeightsAnswer(
   step: OrdersStep,
   engine: EngineId,
   isGranted: boolean,
   now: Millis,
 ): OrdersStep {
   const record = step.state.engines.get(engine);
-  // Without the lease under which it was asked, `followLease` has dropped the move.
+  // `syncLease` drops the pending move when the lease under which it was planned is gone.
   if (!record?.asked) {
     return step;
   }
@@ -255,7 +262,7 @@
   return { ...next, effects: [...next.effects, effect] };
 }
 
-function takeAnswer(
+function handleOrderAnswer(
   step: OrdersStep,
   { engine, number, answer }: Extract<OrdersEvent, { kind: 'answered' }>,
   now: Millis,
@@ -267,7 +274,7 @@
   const next = noteAnswer(record, number, answer, step.state.settings, now);
   const applied = applyRecord(step, record, next);
   return answer.kind === 'refused'
-    ? noteFencing(applied, getOrderFencing(answer.highest))
+    ? handleSeenFencing(applied, getOrderFencing(answer.highest))
     : applied;
 }
 
--- a/packages/placement/src/PlacementPlan.ts
+++ b/packages/placement/src/PlacementPlan.ts
@@ -1,6 +1,6 @@
 /**
- * What each engine of a failure domain should hold, and which changes may be made now. A pure function
- * of the manifest, the engines and what they hold: whoever plans next goes on where the last one ended.
+ * Plans what each engine of a failure domain should hold and which changes may start now. The plan is a pure
+ * function of the manifest, the engines and their holdings, so any instance can continue another's work.
  */
 import type { ModelId } from '@skylarksail/core/CoreTypes';
 import { canHoldAll, createFreshLayout } from './PlacementFresh.js';
@@ -18,19 +18,21 @@
 } from './PlacementTypes.js';
 
 /**
- * How much better a fresh layout must be than one that keeps the cuts in use: a little at least, and more
- * the more of the engines it reloads. Without it, the loss of an engine would now and then reload most
- * of the domain for a few per cent.
+ * Minimum gain in score of a fresh layout over one that keeps the stage ranges in use. `RELOAD_COST` is added in
+ * proportion to the engines that the fresh layout reloads beyond the other. Without these thresholds, the loss
+ * of an engine would occasionally reload most of the domain for a gain of a few percent.
  */
-const FRESH_GAIN = 0.03;
+const MIN_FRESH_GAIN = 0.03;
+/** Cost in score of reloading all usable engines. */
 const RELOAD_COST = 0.18;
 /**
- * The same while a model has less than its minimum. Only what the kept cuts cannot give counts then: new
- * cuts load many engines before the first chain is whole, kept ones only those of the missing stage.
+ * Minimum gain while a model has no capacity or is below its minimum. It is so high that a fresh layout wins only
+ * by coverage or minimums that kept ranges cannot give: new ranges load many engines before the first chain is
+ * whole, kept ranges only those of the missing stage.
  */
-const RESTORE_GAIN = 1.2;
+const MIN_RESTORE_GAIN = 1.2;
 
-/** Plans a failure domain. The same state always gives the same plan; a reached one gives no moves. */
+/** Plans a failure domain. The plan is deterministic, and a state that meets its targets yields no moves. */
 export function planPlacement(state: PlacementState): PlacementPlan {
   const goals = createGoals(state);
   const layout = chooseLayout(state, goals);
@@ -46,11 +48,13 @@
   const reloads = countReloads(fresh) - countReloads(kept);
   const usable = state.engines.filter(({ isUsable }) => isUsable).length;
   const reloadCost = (RELOAD_COST * Math.max(0, reloads)) / Math.max(1, usable);
-  const needed = isAnyBelowMinimum(state, goals) ? RESTORE_GAIN : FRESH_GAIN + reloadCost;
-  return scoreLayout(goals, fresh) > scoreLayout(goals, kept) + needed ? fresh : kept;
+  const neededGain = isAnyBelowMinimum(state, goals)
+    ? MIN_RESTORE_GAIN
+    : MIN_FRESH_GAIN + reloadCost;
+  return scoreLayout(goals, fresh) > scoreLayout(goals, kept) + neededGain ? fresh : kept;
 }
 
-/** Engines that hold other layers than a layout wants. */
+/** Number of engines that hold other layers than the layout assigns to them. */
 function countReloads(layout: Layout): number {
   const places = layout.flatMap(({ model, stages }) =>
     stages.flatMap(({ layers, engines }) =>
@@ -63,7 +67,7 @@
   ).length;
 }
 
-/** Usable engines by island; all in one if some model fits into none of them. */
+/** Usable engines by island, larger islands first; a single island if not every model fits in one. */
 function groupIslands(
   state: PlacementState,
   goals: readonly ModelGoal[],
--- a/packages/placement/src/PlacementRanges.ts
+++ b/packages/placement/src/PlacementRanges.ts
@@ -1,16 +1,16 @@
 /**
- * Cuts one model's layers over the engines of a failure domain where memory binds: every engine gets
- * layers in proportion to its memory, so that the KV cache that is left holds as many requests at each.
- * One chain a domain stands; a domain that loses an engine is served by the others until it is mended,
- * which is cheap as prompts are read in some tens of milliseconds.
+ * Partitions one model's layers over the engines of a failure domain where memory is the bottleneck: every
+ * engine gets layers in proportion to its memory, so that the remaining KV cache fits the same number of requests
+ * on each. Each domain has a single chain. If it breaks, the other domains serve its requests until the gap is
+ * filled, which is cheap because prefill takes only some tens of milliseconds.
  */
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
 
-/** An engine as this planner sees it. */
+/** An engine with the properties that this planner reads. */
 export interface RangeEngine {
   readonly id: EngineId;
   readonly memoryBytes: number;
-  /** Layers that it holds or was ordered to hold; null if none. */
+  /** Layers that the engine holds or was ordered to hold; null if none. */
   readonly held: LayerRange | null;
 }
 
@@ -19,95 +19,96 @@
   readonly layerBytes: number;
 }
 
-/** What each engine should hold; an engine that is not in it keeps what it has. */
+/** The range that each engine should hold; engines without an entry keep theirs. */
 export type RangePlan = ReadonlyMap<EngineId, LayerRange>;
 
-/** Weights may take this part of an engine's memory: without KV cache it could serve no request. */
+/** Maximum share of an engine's memory for weights; it needs the rest as KV cache to serve requests. */
 export const MAX_WEIGHT_SHARE = 0.85;
-/** A mended gap may leave an engine with so little KV cache, as a part of its memory, for a while. */
+/** Maximum share for weights on an engine that fills a gap; so little KV cache is acceptable for a while. */
 export const MAX_GAP_WEIGHT_SHARE = 0.8;
 /**
- * How much more KV cache the tightest engine must get for a whole domain to be cut anew. Chains through
- * layers that are being given up are refused until the answers there have ended, eight seconds under load,
- * which costs more than twice the memory brings.
+ * Factor by which the smallest headroom (KV-cache bytes per layer) of any engine must grow for a domain without
+ * gaps to be repartitioned. Chains through layers that are being given up are refused until the answers there
+ * have ended, eight seconds under load, and this costs more than twice the memory gains.
  */
-const RECUT_GAIN = 2.5;
+const REPARTITION_GAIN = 2.5;
 /**
- * The tightest engine round a mended gap may have so much less KV cache a layer than a whole cut would
- * leave. All domains share the weight store: ten gaps mended by whole cuts were some thirty loads, five
- * seconds instead of two, through which nothing was served.
+ * A gap is filled by repartitioning only the engines around it if their smallest headroom is at least this share
+ * of what repartitioning the whole domain would give. All domains share the weight store: ten gaps filled by
+ * repartitioning whole domains took some thirty loads and five seconds without service instead of two.
  */
-const MEND_ROOM = 0.7;
+const WINDOW_HEADROOM_SHARE = 0.7;
 /**
- * The same where the two engines beside a gap take its layers and give up none. Layers that are given up
- * wait for the answers that pass through them, five seconds where answers are long.
+ * The same share for extending the two engines next to a gap. It is lower because they give up no layers; layers
+ * that are given up wait for the answers that pass through them, five seconds where answers are long.
  */
-const EXTEND_ROOM = 0.5;
+const EXTENSION_HEADROOM_SHARE = 0.5;
 
 /**
- * Plans a domain whose layers are partly missing or badly cut. Null if there is nothing to be done, or
- * nothing that can be. `mayCut` says whether engines that hold layers may be given others: a lost engine
- * is often back within seconds, and then takes its layers again without a move of any other.
+ * Plans a domain that has missing layers or a poor partition; null if nothing needs to change or nothing can.
+ * Engines that hold layers get others only with `mayRepartition`: a lost engine is often back within seconds,
+ * and then takes its layers again without a change to any other engine.
  */
 export function planRanges(
   engines: readonly RangeEngine[],
   model: RangeModel,
-  mayCut: boolean,
+  mayRepartition: boolean,
 ): RangePlan | null {
   const sorted = sortByRange(engines);
   const isWhole = findGaps(sorted, model).length === 0;
-  const filled = isWhole ? null : fillGaps(sorted, model);
-  if (filled !== null || !mayCut) {
+  const filled = isWhole ? null : fillGapsFromSpares(sorted, model);
+  if (filled !== null || !mayRepartition) {
     return filled;
   }
   const whole: LayerRange = { first: 0, end: model.layers };
-  const fresh = partitionByMemory(placeSpares(sorted, model), whole, model);
+  const fresh = partitionByMemory(insertSpares(sorted, model), whole, model);
   if (fresh === null) {
     return null;
   }
-  const room = getRoom(engines, fresh, model);
+  const headroom = getPlanHeadroom(engines, fresh, model);
   if (!isWhole) {
-    return mendGaps(sorted, model, room) ?? fresh;
+    return fillGapsFromNeighbours(sorted, model, headroom) ?? fresh;
   }
-  return room > RECUT_GAIN * getHeldRoom(sorted, model) ? fresh : null;
+  return headroom > REPARTITION_GAIN * getCurrentHeadroom(sorted, model) ? fresh : null;
 }
 
-/** Engines of a chain next to each other, with the layers that they are to share. */
+/** Adjacent engines of a chain, and the range of layers to distribute among them. */
 interface Window {
   readonly engines: readonly RangeEngine[];
   readonly range: LayerRange;
 }
 
 /**
- * Shares each gap's layers out to engines next to it, as few as leave enough of the room that a whole cut
- * would leave at the tightest. Null if there are none, or if the layers held do not follow each other.
+ * Assigns each gap's layers to as few engines around it as keep enough headroom, compared with `headroom`, the
+ * smallest after repartitioning the whole domain. Null if that is impossible, or if the ranges around a gap are
+ * not contiguous.
  */
-function mendGaps(
+function fillGapsFromNeighbours(
   sorted: readonly RangeEngine[],
   model: RangeModel,
-  room: number,
+  headroom: number,
 ): RangePlan | null {
   let holders = sorted.filter(({ held }) => held !== null);
   const plan = new Map<EngineId, LayerRange>();
   for (const gap of findGaps(holders, model)) {
-    const mended =
-      extendNeighbours(holders, gap, model, EXTEND_ROOM * room) ??
-      mendGap(holders, gap, model, MEND_ROOM * room);
-    if (mended === null) {
+    const changed =
+      extendNeighbours(holders, gap, model, EXTENSION_HEADROOM_SHARE * headroom) ??
+      repartitionAroundGap(holders, gap, model, WINDOW_HEADROOM_SHARE * headroom);
+    if (changed === null) {
       return null;
     }
-    mended.forEach((range, id) => plan.set(id, range));
+    changed.forEach((range, id) => plan.set(id, range));
     holders = holders.map((engine) => ({ ...engine, held: plan.get(engine.id) ?? engine.held }));
   }
   return findGaps(holders, model).length === 0 ? plan : null;
 }
 
-/** Splits a gap between the engine before it and the one after it, of which neither gives up a layer. */
+/** Splits a gap between the engine before it and the one after it; neither gives up a layer. */
 function extendNeighbours(
   holders: readonly RangeEngine[],
   gap: LayerRange,
   model: RangeModel,
-  leastRoom: number,
+  minHeadroom: number,
 ): RangePlan | null {
   const window = selectWindow(holders, gap, 1);
   const [before, after] = window?.engines ?? [];
@@ -115,38 +116,39 @@
     return null;
   }
   let best: RangePlan | null = null;
-  let bestRoom = leastRoom;
+  let bestHeadroom = minHeadroom;
   for (let split = gap.first; split <= gap.end; split++) {
     const plan = new Map([
       [before.id, { first: window.range.first, end: split }],
       [after.id, { first: split, end: window.range.end }],
     ]);
-    const room = getRoom(window.engines, plan, model);
-    if (room >= bestRoom) {
+    const headroom = getPlanHeadroom(window.engines, plan, model);
+    if (headroom >= bestHeadroom) {
       best = plan;
-      bestRoom = room;
+      bestHeadroom = headroom;
     }
   }
   return best;
 }
 
-function mendGap(
+/** Repartitions the smallest window around a gap whose engines keep at least `minHeadroom`; null if none does. */
+function repartitionAroundGap(
   holders: readonly RangeEngine[],
   gap: LayerRange,
   model: RangeModel,
-  leastRoom: number,
+  minHeadroom: number,
 ): RangePlan | null {
   for (let reach = 1; reach <= holders.length; reach++) {
     const window = selectWindow(holders, gap, reach);
     const plan = window && partitionByMemory(window.engines, window.range, model);
-    if (window && plan && getRoom(window.engines, plan, model) >= leastRoom) {
+    if (window && plan && getPlanHeadroom(window.engines, plan, model) >= minHeadroom) {
       return plan;
     }
   }
   return null;
 }
 
-/** The engines that hold layers next to a gap, `reach` of them on each side; null if their layers overlap. */
+/** Up to `reach` engines on each side of a gap and all of their layers; null if their ranges are not contiguous. */
 function selectWindow(
   holders: readonly RangeEngine[],
   gap: LayerRange,
@@ -159,8 +161,8 @@
   const end = Math.max(gap.end, ...engines.map(({ held }) => held?.end ?? gap.end));
   const layers = engines.reduce((sum, { held }) => sum + (held ? held.end - held.first : 0), 0);
   const isInOrder = before.length + after.length === holders.length;
-  const isEven = layers + (gap.end - gap.first) === end - first;
-  return isInOrder && isEven ? { engines, range: { first, end } } : null;
+  const isContiguous = layers + (gap.end - gap.first) === end - first;
+  return isInOrder && isContiguous ? { engines, range: { first, end } } : null;
 }
 
 /** Ranges of layers that no engine holds. */
@@ -190,13 +192,13 @@
   });
 }
 
-/** Orders engines that are alike, the same way every time. */
+/** Compares engines by ID to break ties deterministically. */
 export function compareIds(a: RangeEngine, b: RangeEngine): number {
   return a.id < b.id ? -1 : 1;
 }
 
-/** Gives each gap to an engine that holds nothing, if there is one for each; nothing else moves then. */
-function fillGaps(sorted: readonly RangeEngine[], model: RangeModel): RangePlan | null {
+/** Assigns each gap to a spare engine of its own; null if some gap fits on none of those left. */
+function fillGapsFromSpares(sorted: readonly RangeEngine[], model: RangeModel): RangePlan | null {
   const spares = sorted.filter(({ held }) => held === null);
   const plan = new Map<EngineId, LayerRange>();
   for (const gap of findGaps(sorted, model)) {
@@ -213,8 +215,8 @@
   return plan;
 }
 
-/** The order of the chain: holders by their layers, each engine without any put where layers are missing. */
-function placeSpares(sorted: readonly RangeEngine[], model: RangeModel): readonly RangeEngine[] {
+/** The engines in chain order: holders by their layers, with spare engines inserted at the gaps in turn. */
+function insertSpares(sorted: readonly RangeEngine[], model: RangeModel): readonly RangeEngine[] {
   const spares = sorted.filter(({ held }) => held === null);
   const order = sorted.filter(({ held }) => held !== null);
   const gaps = findGaps(order, model);
@@ -228,7 +230,7 @@
   return order;
 }
 
-/** Cuts a range of layers in the order given, by memory; null if these engines cannot hold it. */
+/** Splits a range of layers over the engines, in the given order and by memory; null if they cannot hold it. */
 export function partitionByMemory(
   order: readonly RangeEngine[],
   range: LayerRange,
@@ -242,13 +244,13 @@
   if (most.reduce((sum, count) => sum + count, 0) < layers) {
     return null;
   }
-  const wished = order.map(({ memoryBytes }) => (layers * memoryBytes) / total);
-  const counts = wished.map((wish, i) => Math.min(most[i] ?? 0, Math.floor(wish)));
-  let left = layers - counts.reduce((sum, count) => sum + count, 0);
-  while (left > 0) {
-    const next = findNeediest(order, counts, most, model);
+  const exactShares = order.map(({ memoryBytes }) => (layers * memoryBytes) / total);
+  const counts = exactShares.map((exactShare, i) => Math.min(most[i] ?? 0, Math.floor(exactShare)));
+  let remaining = layers - counts.reduce((sum, count) => sum + count, 0);
+  while (remaining > 0) {
+    const next = findMostHeadroom(order, counts, most, model);
     counts[next] = (counts[next] ?? 0) + 1;
-    left -= 1;
+    remaining -= 1;
   }
   const plan = new Map<EngineId, LayerRange>();
   let { first } = range;
@@ -262,43 +264,48 @@
   return plan;
 }
 
-/** The engine that one more layer leaves with the most KV cache a layer. */
-function findNeediest(
+/** Index of the engine that has the most headroom after it takes one more layer. */
+function findMostHeadroom(
   order: readonly RangeEngine[],
   counts: readonly number[],
   most: readonly number[],
   model: RangeModel,
 ): number {
   let best = -1;
-  let bestRoom = -Infinity;
+  let bestHeadroom = -Infinity;
   order.forEach(({ memoryBytes }, i) => {
     const count = (counts[i] ?? 0) + 1;
-    const room = getLayerRoom(memoryBytes, count, model);
-    if (count <= (most[i] ?? 0) && room > bestRoom) {
+    const headroom = getHeadroom(memoryBytes, count, model);
+    if (count <= (most[i] ?? 0) && headroom > bestHeadroom) {
       best = i;
-      bestRoom = room;
+      bestHeadroom = headroom;
     }
   });
   return best;
 }
 
-/** KV-cache bytes for each layer held. */
-function getLayerRoom(memoryBytes: number, count: number, { layerBytes }: RangeModel): number {
+/** Headroom of an engine that holds `count` layers: the bytes left for KV cache per layer. */
+function getHeadroom(memoryBytes: number, count: number, { layerBytes }: RangeModel): number {
   return memoryBytes / count - layerBytes;
 }
 
-/** The same at the tightest engine of a plan. */
-function getRoom(engines: readonly RangeEngine[], plan: RangePlan, model: RangeModel): number {
-  const rooms = engines.flatMap(({ id, memoryBytes }) => {
+/** The smallest headroom of the engines in a plan. */
+function getPlanHeadroom(
+  engines: readonly RangeEngine[],
+  plan: RangePlan,
+  model: RangeModel,
+): number {
+  const headrooms = engines.flatMap(({ id, memoryBytes }) => {
     const range = plan.get(id);
-    return range ? [getLayerRoom(memoryBytes, range.end - range.first, model)] : [];
+    return range ? [getHeadroom(memoryBytes, range.end - range.first, model)] : [];
   });
-  return Math.min(...rooms);
+  return Math.min(...headrooms);
 }
 
-function getHeldRoom(holders: readonly RangeEngine[], model: RangeModel): number {
-  const rooms = holders.flatMap(({ memoryBytes, held }) =>
-    held ? [getLayerRoom(memoryBytes, held.end - held.first, model)] : [],
+/** The smallest headroom of the engines with the layers that they hold now. */
+function getCurrentHeadroom(holders: readonly RangeEngine[], model: RangeModel): number {
+  const headrooms = holders.flatMap(({ memoryBytes, held }) =>
+    held ? [getHeadroom(memoryBytes, held.end - held.first, model)] : [],
   );
-  return Math.min(...rooms);
+  return Math.min(...headrooms);
 }
--- a/packages/placement/src/PlacementRecords.ts
+++ b/packages/placement/src/PlacementRecords.ts
@@ -1,4 +1,4 @@
-/** What is known of one engine and its order, and how each report, answer and passing of time changes it. */
+/** Updates the record of one engine and its order by reports, answers and timeouts. */
 import type { Holding } from '@skylarksail/core/CoreEngine';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { isSameHolding } from './PlacementMoves.js';
@@ -12,13 +12,13 @@
 } from './PlacementOrderTypes.js';
 import { DecisionKind, getOrderFencing } from './PlacementOrderTypes.js';
 
-/** A record with what should be logged about the change. */
+/** An updated record, with the decision to log about the change, if any. */
 export interface RecordStep {
   readonly record: EngineRecord;
   readonly decision: DecisionKindName | null;
 }
 
-/** A record made from the first report. */
+/** Creates a record from an engine's first report. */
 export function createRecord(report: EngineReport, now: Millis): EngineRecord {
   return {
     facts: report.facts,
@@ -34,7 +34,7 @@
   };
 }
 
-/** Takes a report in. A new boot id is a restart; several within a while are a crash loop. */
+/** Applies a report. A new boot id is a restart; `maxStarts` of them in the window are a crash loop. */
 export function noteReport(
   record: EngineRecord,
   report: EngineReport,
@@ -47,11 +47,11 @@
   const starts = isRestart ? [...recent, now] : recent;
   const next = { ...record, facts, load, isHealthy, reportedAt: now, starts };
   return isRestart && starts.length >= settings.maxStarts
-    ? fail(next, settings, now, DecisionKind.CrashLoop)
+    ? failOrder(next, settings, now, DecisionKind.CrashLoop)
     : { record: next, decision: null };
 }
 
-/** Takes the answer to an order in. */
+/** Applies the answer to the current order; ignores answers to earlier ones. */
 export function noteAnswer(
   record: EngineRecord,
   number: number,
@@ -66,13 +66,14 @@
   switch (answer.kind) {
     case 'done':
       return isSameHolding(answer.holding, order.want)
-        ? settle(record, order, now, DecisionKind.Done)
-        : fail(record, settings, now, DecisionKind.HalfFinished);
+        ? settleOrder(record, order, now, DecisionKind.Done)
+        : failOrder(record, settings, now, DecisionKind.HalfFinished);
     case 'refused':
-      // A later order of the same lease was there first; any other number is the engine's refusal.
+      // An equal or higher number of the same lease means that a later order arrived first. Any other
+      // number counts as a refusal by the engine.
       return answer.highest >= number && getOrderFencing(answer.highest) === getOrderFencing(number)
         ? { record: { ...record, order: null }, decision: DecisionKind.Superseded }
-        : fail(record, settings, now, DecisionKind.Refused);
+        : failOrder(record, settings, now, DecisionKind.Refused);
     default:
       return {
         record: { ...record, order: { ...order, isUnknown: true } },
@@ -83,7 +84,7 @@
 
 /**
  * Settles an order without an answer by what the engine reports. A report may be older than the order,
- * so a lower number proves nothing until the order can no longer start and reports have caught up.
+ * so a lower number proves nothing until the order can no longer start and `reportLag` has passed since.
  */
 export function settleByReport(
   record: EngineRecord,
@@ -108,19 +109,19 @@
   }
   if (load.orderNumber === order.number) {
     if (isSameHolding(load.holding, order.want)) {
-      return settle(record, order, now, DecisionKind.Settled);
+      return settleOrder(record, order, now, DecisionKind.Settled);
     }
     return load.holding !== null || isOverdue
-      ? fail(record, settings, now, DecisionKind.HalfFinished)
+      ? failOrder(record, settings, now, DecisionKind.HalfFinished)
       : { record, decision: null };
   }
-  const startsUntil = order.sentAt + settings.validFor + settings.transit;
-  return now >= startsUntil + settings.reportLag
-    ? fail(record, settings, now, DecisionKind.NotTaken)
+  const startDeadline = order.sentAt + settings.validFor + settings.transit;
+  return now >= startDeadline + settings.reportLag
+    ? failOrder(record, settings, now, DecisionKind.NotTaken)
     : { record, decision: null };
 }
 
-function settle(
+function settleOrder(
   record: EngineRecord,
   order: SentOrder,
   now: Millis,
@@ -135,25 +136,25 @@
   return { record: { ...record, order: null, settled, failures: 0 }, decision };
 }
 
-/** Drops the order and backs off, twice as long as the last time. */
-function fail(
+/** Drops the order and backs off, twice as long as after the previous failure, up to `maxBackoff`. */
+function failOrder(
   record: EngineRecord,
   settings: OrderSettings,
   now: Millis,
   decision: DecisionKindName,
 ): RecordStep {
-  const pause = Math.min(settings.maxBackoff, settings.backoff * 2 ** record.failures);
+  const backoffDelay = Math.min(settings.maxBackoff, settings.backoff * 2 ** record.failures);
   const failed = {
     ...record,
     order: null,
     settled: null,
     failures: record.failures + 1,
-    backoffUntil: now + pause,
+    backoffUntil: now + backoffDelay,
   };
   return { record: failed, decision };
 }
 
-/** What an engine holds now: the last answer while reports may be older than it, else the report. */
+/** What an engine holds now: by its settled order while reports may be older, else by its report. */
 export function getHolding(
   { settled, load }: EngineRecord,
   settings: OrderSettings,
@@ -165,8 +166,8 @@
 }
 
 /**
- * Whether an engine holds something else than its last order said, of which it reports no later one.
- * An engine that ignores numbers took a late order, or lost part of what it held.
+ * Whether an engine holds something other than its last settled order specified, without a restart in
+ * between: it ignores fencing numbers and accepted a late order, or it lost part of what it held.
  */
 export function isOverwritten(record: EngineRecord, settings: OrderSettings, now: Millis): boolean {
   const { settled, load } = record;
@@ -178,15 +179,15 @@
   );
 }
 
-/** Whether an engine is to be planned with. */
+/** Whether plans may use an engine. */
 export function isUsable(record: EngineRecord, settings: OrderSettings, now: Millis): boolean {
   const isBackedOff = record.failures >= settings.maxFailures && now < record.backoffUntil;
-  const isLooping = record.starts.length >= settings.maxStarts && now < record.backoffUntil;
+  const isCrashLooping = record.starts.length >= settings.maxStarts && now < record.backoffUntil;
   return (
     record.load.state === 'live' &&
     record.isHealthy &&
     now < record.reportedAt + settings.goneAfter &&
     !isBackedOff &&
-    !isLooping
+    !isCrashLooping
   );
 }
--- a/packages/placement/src/PlacementRunner.ts
+++ b/packages/placement/src/PlacementRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Places one failure domain: takes the lease while this instance has the duty, reads reports, plans, and
- * sends orders. All input and output are functions that are passed in.
+ * Places the models of one failure domain: holds the lease while this instance has the duty, reads
+ * reports, plans, and sends orders. All input and output go through functions that are passed in.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -31,7 +31,7 @@
 
 const TICK_PERIOD: Millis = 1000;
 const LEASE_TTL: Millis = 20_000;
-/** Most of the time that planning may take; requests run on the same thread. */
+/** Maximum share of time spent on planning, since requests run on the same thread. */
 const PLAN_TIME_SHARE = 0.05;
 
 export interface PlacementRunnerDeps {
@@ -40,29 +40,29 @@
   readonly random: Random;
   readonly platform: StorePort;
   readonly instance: InstanceId;
-  /** Whether this instance should place the domain; the lease decides between two that think so. */
+  /** Whether this instance should place the domain; the lease decides if two instances both should. */
   readonly isOwnDuty: () => boolean;
   readonly getManifest: () => PlacementManifest | null;
   readonly listReports: () => readonly EngineReport[];
-  /** Sends an order. Never rejects for long: no answer is `unknown`. */
+  /** Sends an order. The promise settles within a bounded time, with `unknown` if no answer arrives. */
   readonly sendOrder: (engine: EngineId, order: Order) => Promise<OrderAnswer>;
-  /** Whether an engine may be given another order now; without it, at once. Asked again each tick. */
+  /** Whether an engine may be given another order now; checked each tick, always true if omitted. */
   readonly isReadyForOrder?: (engine: EngineId) => boolean;
   readonly onDecision: (decision: PlacementDecision) => void;
   readonly settings?: Partial<OrderSettings>;
   readonly weights?: WeightRates;
 }
 
-/** Whether a domain is being placed by this instance, and why not. */
+/** Whether this instance is placing the domain, and if not, why. */
 export const PlacementPhase = {
   /** Another instance has the duty. */
   Idle: 'idle',
-  /** The lease is asked for; another holds it, or the platform has not answered. */
+  /** The lease is requested; another instance holds it, or the platform has not answered. */
   Waiting: 'waiting',
-  /** The lease is held; engines that ignore numbers get no order yet. */
+  /** The lease is held; engines that ignore fencing numbers get no orders yet. */
   Quiet: 'quiet',
   Placing: 'placing',
-  /** The lease was held and could not be renewed: no orders until it is held again. */
+  /** The lease was held and could not be renewed; no orders are sent until it is held again. */
   Stopped: 'stopped',
 } as const;
 
@@ -75,36 +75,36 @@
   readonly manifestRevision: number | null;
   readonly ordersUnderWay: number;
   readonly enginesPlannedAround: readonly EngineId[];
-  /** Moves that wait for capacity, for the weight store, or for an engine's pause to end. */
+  /** Moves that wait for capacity, for the weight store, or for an engine's backoff to end. */
   readonly movesLeft: number;
   readonly capacities: ReadonlyMap<ModelId, number>;
 }
 
 export interface PlacementRunner {
   getStatus(): PlacementStatus;
-  /** Gives the lease back and sends nothing more. */
+  /** Releases the lease and stops sending orders. */
   stop(): void;
 }
 
-/** Key of a domain's lease in the platform's service. */
+/** Key of a domain's placement lease in the platform's store. */
 export function getPlacementLeaseKey(domain: DomainId): string {
   return `placement/${domain}`;
 }
 
-/** Starts placing a domain whenever this instance has the duty and the lease. */
+/** Starts a runner that places the domain whenever this instance has the duty and the lease. */
 export function startPlacementRunner(deps: PlacementRunnerDeps): PlacementRunner {
   const { domain, timers } = deps;
   const settings = { ...DEFAULT_ORDER_SETTINGS, ...deps.settings };
   let orders = createOrders(domain, settings);
   let holder: LeaseHolder | null = null;
-  let hasHeld = false;
+  let hasHeldLease = false;
   let bucket = createWeightBucket(timers.now());
   let plan: PlacementPlan | null = null;
   let planKey = '';
   let nextPlanAt: Millis = 0;
   let isStopped = false;
 
-  function lookAtLease(): { readonly fencing: number } | null {
+  function readLease(): { readonly fencing: number } | null {
     const lease = holder?.getLease() ?? null;
     return lease && { fencing: lease.fencing };
   }
@@ -113,11 +113,11 @@
     const before = orders.lease?.fencing;
     const { state, effects } = stepOrders(orders, event, {
       now: timers.now(),
-      lease: lookAtLease(),
+      lease: readLease(),
     });
     orders = state;
     if (state.lease && state.lease.fencing !== before) {
-      hasHeld = true;
+      hasHeldLease = true;
       bucket = createWeightBucket(timers.now());
     }
     effects.forEach(runEffect);
@@ -137,7 +137,7 @@
         break;
       }
       case 'step-down':
-        dropLease();
+        stopLeaseHolder();
         break;
       default:
         deps.onDecision(effect.decision);
@@ -145,8 +145,8 @@
   }
 
   async function send(engine: EngineId, order: Order): Promise<void> {
-    const isOwn = lookAtLease()?.fencing === getOrderFencing(order.number);
-    const answer: OrderAnswer = isOwn
+    const isCurrentLease = readLease()?.fencing === getOrderFencing(order.number);
+    const answer: OrderAnswer = isCurrentLease
       ? await deps.sendOrder(engine, order).catch(() => ({ kind: 'unknown' }) as const)
       : { kind: 'unknown' };
     if (!isStopped) {
@@ -154,7 +154,7 @@
     }
   }
 
-  function takeLease(): void {
+  function startLeaseHolder(): void {
     holder = createLeaseHolder({
       port: deps.platform,
       timers,
@@ -162,42 +162,42 @@
       key: getPlacementLeaseKey(domain),
       holder: deps.instance,
       ttl: LEASE_TTL,
-      // An order sent at the last moment can no longer start when the lease lapses.
+      // An order sent at the last moment can no longer start once the lease has lapsed.
       margin: settings.validFor + settings.transit,
       onAcquired: () => step({ kind: 'tick' }),
       onLost: () => step({ kind: 'tick' }),
     });
   }
 
-  function dropLease(): void {
+  function stopLeaseHolder(): void {
     holder?.stop();
     holder = null;
   }
 
   function tick(): void {
-    const isDuty = deps.isOwnDuty();
-    if (isDuty && !holder) {
-      takeLease();
-    } else if (!isDuty && holder) {
-      dropLease();
-      hasHeld = false;
+    const isOnDuty = deps.isOwnDuty();
+    if (isOnDuty && !holder) {
+      startLeaseHolder();
+    } else if (!isOnDuty && holder) {
+      stopLeaseHolder();
+      hasHeldLease = false;
     }
-    if (!isDuty && !orders.lease) {
+    if (!isOnDuty && !orders.lease) {
       return;
     }
     step({ kind: 'reported', reports: deps.listReports() });
     const manifest = deps.getManifest();
     if (orders.lease && manifest) {
-      followPlan(manifest);
+      applyPlan(manifest);
     }
   }
 
-  function followPlan(manifest: PlacementManifest): void {
+  function applyPlan(manifest: PlacementManifest): void {
     const engines = listPlacementEngines(orders, timers.now());
     const key = createPlanKey(manifest, engines);
     if (!plan || key !== planKey) {
       const startedAt = timers.now();
-      // An older plan's moves are not safe any more: what it counted on may be gone.
+      // The previous plan's moves are no longer safe: engines that it relied on may be gone.
       if (startedAt < nextPlanAt) {
         return;
       }
@@ -205,26 +205,26 @@
       planKey = key;
       nextPlanAt = timers.now() + (timers.now() - startedAt) / PLAN_TIME_SHARE;
     }
-    const unchecking = engines.filter(
+    const unfenced = engines.filter(
       ({ facts }) => !(manifest.getAccelerator(facts.accelerator)?.checksFencing ?? false),
     );
     step({
       kind: 'planned',
-      // An engine that loads something else drops what runs on it: its answers would go on elsewhere,
-      // or nowhere, where it was the last to hold their version.
+      // Skips engines that are not ready. An engine that loads something else drops its running requests;
+      // they must continue on other engines, or fail if it was the last to hold their version.
       moves: plan.moves.filter(({ engine }) => deps.isReadyForOrder?.(engine) ?? true),
-      unfencedEngines: new Set(unchecking.map(({ facts }) => facts.id)),
+      unfencedEngines: new Set(unfenced.map(({ facts }) => facts.id)),
     });
   }
 
   function getPhase(): PlacementPhaseName {
-    if (lookAtLease() && orders.lease) {
+    if (readLease() && orders.lease) {
       return timers.now() < getQuietUntil(orders) ? PlacementPhase.Quiet : PlacementPhase.Placing;
     }
     if (!holder) {
       return PlacementPhase.Idle;
     }
-    return hasHeld ? PlacementPhase.Stopped : PlacementPhase.Waiting;
+    return hasHeldLease ? PlacementPhase.Stopped : PlacementPhase.Waiting;
   }
 
   const cancel = timers.registerInterval(TICK_PERIOD, tick);
@@ -235,7 +235,7 @@
       return {
         domain,
         phase: getPhase(),
-        fencing: lookAtLease()?.fencing ?? null,
+        fencing: readLease()?.fencing ?? null,
         manifestRevision: deps.getManifest()?.revision ?? null,
         ordersUnderWay: [...orders.engines.values()].filter(({ order }) => order).length,
         enginesPlannedAround: engines.flatMap(({ facts, isUsable }) =>
@@ -248,12 +248,12 @@
     stop() {
       isStopped = true;
       cancel();
-      dropLease();
+      stopLeaseHolder();
     },
   };
 }
 
-/** Names all that a plan hangs on, but for the numbers of running requests, which change all the time. */
+/** Encodes all that a plan depends on, except the counts of running requests, which always change. */
 function createPlanKey(manifest: PlacementManifest, engines: readonly PlacementEngine[]): string {
   const parts = engines.map(({ facts, holding, expected, isUsable }) => [
     facts,
--- a/packages/placement/src/PlacementScore.ts
+++ b/packages/placement/src/PlacementScore.ts
@@ -1,25 +1,32 @@
-/** How good a layout is: every model covered, then minimums, then use of the hardware by weight. */
+/** Scores a layout: first for covering every model, then for minimums, then for using the hardware by weight. */
 import { getRate, sumRates } from './PlacementGoals.js';
 import type { Layout, LayoutColumn, LayoutStage, ModelGoal } from './PlacementTypes.js';
 
-const COVERED_WORTH = 100;
-const MINIMUM_WORTH = 10;
-/** Worth of capacity beyond a model's goal. */
-const BEYOND_GOAL = 0.25;
-/** Worth of the capacity that is left when the worst engine dies. */
-const SPARE_WORTH = 0.12;
-/** Worth of stages that are faster than the slowest: it shows the way where two are the slowest. */
-const EVENNESS_WORTH = 0.05;
-/** Cost of each further hop in a chain. */
+const COVERED_SCORE = 100;
+const MINIMUM_SCORE = 10;
+/** Weight of capacity beyond a model's goal. */
+const SURPLUS_WEIGHT = 0.25;
+/** Weight of the capacity that remains after the worst loss of one engine. */
+const AFTER_LOSS_WEIGHT = 0.12;
+/**
+ * Weight of the mean stage rate. It gives the search a direction where two stages tie for the slowest: speeding
+ * up only one of them does not change the column's rate.
+ */
+const EVENNESS_WEIGHT = 0.05;
+/** Cost of each stage in a chain. */
 const HOP_COST = 0.004;
 
-/** What a column can do. */
+/** Rates of a column, in tokens per second. */
 export interface ColumnRates {
   readonly tokensPerSecond: number;
-  /** The same after the loss of the engine that matters most. */
+  /** Tokens per second after the worst loss of one engine. */
   readonly afterLoss: number;
-  /** Mean over stages of what each could do, up to twice the column's. */
+  /**
+   * Mean stage rate, each capped at twice the column's. For a column with an empty stage, the share of its stages
+   * that have engines.
+   */
   readonly evenness: number;
+  /** Number of stages. */
   readonly stages: number;
 }
 
@@ -29,7 +36,7 @@
   return sumRates(engines) / (layers.end - layers.first);
 }
 
-/** Rates of a column; columns never change, so each is worked out once. */
+/** Rates of a column, cached because columns are immutable. */
 export function getColumnRates(column: LayoutColumn): ColumnRates {
   const known = cache.get(column);
   if (known) {
@@ -55,37 +62,37 @@
   return found;
 }
 
-/** Score of a layout; 1 within the whole is all of the hardware's rate. */
+/** Score of a layout. Apart from coverage and minimums, 1 corresponds to the full rate of the hardware. */
 export function scoreLayout(goals: readonly ModelGoal[], layout: Layout): number {
   const total = goals.reduce((sum, { goal, model }) => sum + goal * model.layers, 0);
   return goals.reduce((sum, goal) => {
     const columns = layout.filter(({ model }) => model.id === goal.model.id);
-    const part = total > 0 ? (goal.goal * goal.model.layers) / total : 0;
-    return sum + scoreModel(goal, columns.map(getColumnRates), part);
+    const share = total > 0 ? (goal.goal * goal.model.layers) / total : 0;
+    return sum + scoreModel(goal, columns.map(getColumnRates), share);
   }, 0);
 }
 
 function scoreModel(
   { goal, minTokensPerSecond }: ModelGoal,
   columns: readonly ColumnRates[],
-  part: number,
+  share: number,
 ): number {
   const sum = (read: (rates: ColumnRates) => number) =>
     columns.reduce((total, rates) => total + read(rates), 0);
   const rate = sum(({ tokensPerSecond }) => tokensPerSecond);
   if (rate <= 0 || goal <= 0) {
-    return EVENNESS_WORTH * part * sum(({ evenness }) => evenness);
+    return EVENNESS_WEIGHT * share * sum(({ evenness }) => evenness);
   }
   const worst = Math.max(...columns.map((rates) => rates.tokensPerSecond - rates.afterLoss));
   const minimum = minTokensPerSecond > 0 ? Math.min(1, rate / minTokensPerSecond) : 1;
-  const use =
-    getUse(rate / goal) +
-    SPARE_WORTH * getUse((rate - worst) / goal) +
-    EVENNESS_WORTH * getUse(sum(({ evenness }) => evenness) / goal) -
+  const utility =
+    getUtility(rate / goal) +
+    AFTER_LOSS_WEIGHT * getUtility((rate - worst) / goal) +
+    EVENNESS_WEIGHT * getUtility(sum(({ evenness }) => evenness) / goal) -
     (HOP_COST * sum(({ stages }) => stages)) / columns.length;
-  return COVERED_WORTH + MINIMUM_WORTH * minimum + part * use;
+  return COVERED_SCORE + MINIMUM_SCORE * minimum + share * utility;
 }
 
-function getUse(share: number): number {
-  return share <= 1 ? share : 1 + BEYOND_GOAL * (share - 1);
+function getUtility(goalShare: number): number {
+  return goalShare <= 1 ? goalShare : 1 + SURPLUS_WEIGHT * (goalShare - 1);
 }
--- a/packages/placement/src/PlacementTypes.ts
+++ b/packages/placement/src/PlacementTypes.ts
@@ -1,4 +1,4 @@
-/** What placement is planned from and what comes of it. */
+/** Input and results of placement planning. */
 import type { EngineFacts, Holding } from '@skylarksail/core/CoreEngine';
 import type {
   AdapterId,
@@ -19,14 +19,14 @@
   readonly activationBytes: number;
 }
 
-/** What a domain must be able to serve of a model. */
+/** The capacity that a domain must provide for a model. */
 export interface PlacementDemand {
   readonly model: ModelId;
   readonly minTokensPerSecond: number;
   readonly weight: number;
 }
 
-/** The part of a manifest that placement reads; a ManifestView has it. */
+/** The part of a manifest that placement reads; `ManifestView` provides it. */
 export interface PlacementManifest {
   readonly revision: number;
   readonly domains: readonly {
@@ -45,26 +45,32 @@
 /** An engine as the planner sees it. */
 export interface PlacementEngine {
   readonly facts: EngineFacts;
-  /** What it holds and can serve with now; null while it loads. */
+  /** What the engine holds and can serve now; null while it loads. */
   readonly holding: Holding | null;
-  /** What it will hold when the order under way is done; the holding if there is none. */
+  /** What the engine will hold once its pending order is done; same as `holding` without one. */
   readonly expected: Holding | null;
-  /** False while it leaves, is ill, crashes in a loop or refuses orders: it is planned around. */
+  /** False while plans leave the engine out: it is leaving, unhealthy, silent, or failed repeatedly. */
   readonly isUsable: boolean;
   readonly running: number;
 }
 
-/** Why an engine is to hold something else, from the most to the least urgent. */
+/** Why an engine is to hold something else. */
 export const MoveReason = {
+  /** The model has no capacity, or less than its minimum. */
   Restore: 'restore',
+  /** The layers stay loaded; only the adapters or the duty change. */
   Adapters: 'adapters',
+  /** The engine holds nothing yet. */
   Join: 'join',
+  /** The same layers change to another version. */
   Version: 'version',
+  /** Any other change that improves the layout. */
   Tune: 'tune',
 } as const;
 
 export type MoveReasonName = (typeof MoveReason)[keyof typeof MoveReason];
 
+/** Reasons from the most to the least urgent. */
 export const MOVE_REASONS_BY_URGENCY: readonly MoveReasonName[] = [
   MoveReason.Restore,
   MoveReason.Adapters,
@@ -78,18 +84,18 @@
   readonly engine: EngineId;
   readonly want: Holding | null;
   readonly reason: MoveReasonName;
-  /** What it takes from the weight store. */
+  /** Bytes to load from the weight store. */
   readonly bytes: number;
 }
 
-/** What each engine should hold in the end, and what may be done about it now. */
+/** What each engine should hold in the end, and the moves towards it. */
 export interface PlacementPlan {
   readonly targets: ReadonlyMap<EngineId, Holding | null>;
   /** Moves that may start now, the most urgent first. */
   readonly moves: readonly PlacementMove[];
-  /** Moves that must wait, since a model would be left with less than its minimum. */
+  /** Moves that must wait: a model would fall below its floor, or too many engines would load. */
   readonly blocked: readonly PlacementMove[];
-  /** Tokens a second of each model once all targets are reached. */
+  /** Tokens per second of each model once all targets are reached. */
   readonly capacities: ReadonlyMap<ModelId, number>;
 }
 
@@ -99,26 +105,26 @@
   readonly engines: readonly PlacementEngine[];
 }
 
-/** Engines in a column's stage. */
+/** A stage of a column, with the engines that hold its layers. */
 export interface LayoutStage {
   readonly layers: LayerRange;
   readonly engines: readonly PlacementEngine[];
 }
 
-/** A model cut into stages over the engines of one island. */
+/** A model split into stages over engines of one island, a group of racks joined by fast links. */
 export interface LayoutColumn {
   readonly model: PlacementModel;
   readonly island: string;
   readonly stages: readonly LayoutStage[];
 }
 
-/** What the domain's engines are to hold, column by column. */
+/** What the domain's engines are to hold, by column. */
 export type Layout = readonly LayoutColumn[];
 
-/** A model's goal in this domain. */
+/** The capacity planned for a model in this domain. */
 export interface ModelGoal {
   readonly model: PlacementModel;
   readonly minTokensPerSecond: number;
-  /** Tokens a second that are its share of the engines. */
+  /** Tokens per second that its share of the engines provides. */
   readonly goal: number;
 }
--- a/packages/placement/src/PlacementVersions.ts
+++ b/packages/placement/src/PlacementVersions.ts
@@ -1,23 +1,23 @@
-/** Which version of a model new requests should run while versions change. */
+/** Chooses the version of a model that new requests run during a version rollout. */
 import type { EngineLoad, EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { VersionId } from '@skylarksail/core/CoreTypes';
 import { computeVersionCapacities } from './PlacementCapacity.js';
 import type { PlacementModel } from './PlacementTypes.js';
 
-/** A version that may be routed to, with the share of new requests that should run it. */
+/** A version that requests may be routed to, with the share of new requests that should run it. */
 export interface ServableVersion {
   readonly version: VersionId;
   readonly tokensPerSecond: number;
   readonly share: number;
 }
 
-/** Without a minimum, the wanted version is served once it has this share of what is served. */
-const ENOUGH_SHARE = 0.5;
+/** Without a minimum, one version serves alone once it has this share of the model's capacity. */
+const SOLE_VERSION_SHARE = 0.5;
 
 /**
- * Versions that new requests should run, by share. The wanted one alone as soon as a whole chain holds
- * it and it gives the minimum; until then the old one alone while it gives the minimum; else all, each
- * by what it can carry. Empty if no whole chain holds any version.
+ * Lists the versions that new requests should run, with their shares. Lists only the manifest's version
+ * once a whole chain holds it and it provides the minimum; until then only an old version that provides
+ * the minimum; otherwise all versions, in proportion to capacity. Empty if no whole chain holds any.
  */
 export function getServableVersions(
   model: PlacementModel,
@@ -29,21 +29,22 @@
     const engine = { facts, holding, expected: holding, isUsable: true, running: load.running };
     return holding && load.state === 'live' ? [{ engine, holding }] : [];
   });
-  const all = [...computeVersionCapacities(model, serving)].sort(
+  const capacities = [...computeVersionCapacities(model, serving)].sort(
     ([a, x], [b, y]) => y - x || (a < b ? -1 : 1),
   );
-  const total = all.reduce((sum, [, capacity]) => sum + capacity, 0);
-  const wanted = all.find(([version]) => version === model.serve);
-  const enough = minTokensPerSecond > 0 ? minTokensPerSecond : total * ENOUGH_SHARE;
-  const alone = wanted && wanted[1] >= enough ? wanted : all.find(([, rate]) => rate >= enough);
-  return (alone ? [alone] : all).map(([version, tokensPerSecond]) => ({
+  const total = capacities.reduce((sum, [, capacity]) => sum + capacity, 0);
+  const target = capacities.find(([version]) => version === model.serve);
+  const required = minTokensPerSecond > 0 ? minTokensPerSecond : total * SOLE_VERSION_SHARE;
+  const sole =
+    target && target[1] >= required ? target : capacities.find(([, rate]) => rate >= required);
+  return (sole ? [sole] : capacities).map(([version, tokensPerSecond]) => ({
     version,
     tokensPerSecond,
-    share: alone ? 1 : tokensPerSecond / total,
+    share: sole ? 1 : tokensPerSecond / total,
   }));
 }
 
-/** The version to route one request to: `draw` in [0, 1) chooses by share. Null if none can be served. */
+/** Picks the version for one request: `draw` in [0, 1) selects by share. Null if none can be served. */
 export function chooseServableVersion(
   versions: readonly ServableVersion[],
   draw: number,
--- a/packages/placement/src/__tests__/GroupFixtures.ts
+++ b/packages/placement/src/__tests__/GroupFixtures.ts
@@ -1,10 +1,10 @@
-/** Engines and a model of the size that fleets of three domains have, for the tests of copies. */
+/** Engines and a model as in a fleet of three domains, for tests of layers held by several engines. */
 import type { GroupModel } from '../PlacementGroups.js';
 import type { RangeEngine, RangePlan } from '../PlacementRanges.js';
 
 export const GB = 1e9;
 
-/** 140 GB of weights; a request of the usual size takes 0.92 GB of KV cache over all layers. */
+/** Has 140 GB of weights; a request of the usual size takes 0.92 GB of KV cache over all layers. */
 export const GROUP_MODEL: GroupModel = {
   layers: 80,
   layerBytes: 1.75 * GB,
@@ -33,7 +33,7 @@
   return engines.map((engine) => ({ ...engine, held: plan?.get(engine.id) ?? engine.held }));
 }
 
-/** KV cache in bytes that engines have left for each layer, at the layer with the least. */
+/** KV-cache bytes that a layer's holders have left for it together, at the layer with the least. */
 export function getLeastRoom(engines: readonly RangeEngine[]): number {
   const rooms = Array.from({ length: GROUP_MODEL.layers }, (_, layer) =>
     engines.reduce((sum, { memoryBytes, held }) => {
@@ -44,7 +44,7 @@
   return Math.min(...rooms);
 }
 
-/** Weights in bytes that an engine holds. */
+/** Bytes of the weights that an engine holds. */
 export function getWeights({ held }: RangeEngine): number {
   return held ? (held.end - held.first) * GROUP_MODEL.layerBytes : 0;
 }
--- a/packages/placement/src/__tests__/PlacementBed.ts
+++ b/packages/placement/src/__tests__/PlacementBed.ts
@@ -1,4 +1,4 @@
-/** Engines that take orders, fail and report late, and instances that place them over one fake platform. */
+/** Simulated engines that take orders, fail and report late, and instances that place them over one fake store. */
 import type { EngineLoad, Holding } from '@skylarksail/core/CoreEngine';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { TimerService, VirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -47,7 +47,7 @@
   readonly seed?: number;
   readonly loadMsPerLayer?: Millis;
   readonly reportLag?: Millis;
-  /** Whether the engines hold what they should from the start. */
+  /** Whether the engines hold their targets from the start. */
   readonly isPlaced?: boolean;
   readonly deps?: Partial<PlacementRunnerDeps>;
 }
@@ -60,11 +60,12 @@
   faults: Partial<BedFaults>;
 }
 
-/** A paused process: its timers do not fire, and what it was about to send stays unsent. */
+/** An instance's process. While it is paused, its timers do not fire. */
 interface Process {
   paused: boolean;
-  /** Orders that the process has written and that have not left its machine. */
+  /** Orders that the process has written and its machine has not sent; null if they are sent at once. */
   held: (() => void)[] | null;
+  /** Listeners of timers that came due during the pause. */
   readonly waiting: (() => void)[];
 }
 
@@ -72,8 +73,8 @@
   const timers: VirtualTimers = createVirtualTimers(0);
   const random = createRandom(options.seed ?? 1);
   const platform = createFakeStore({ timers, random });
-  const perLayer = options.loadMsPerLayer ?? 200;
-  const lag = options.reportLag ?? 3000;
+  const loadTimePerLayer = options.loadMsPerLayer ?? 200;
+  const reportLag = options.reportLag ?? 3000;
   const taken: TakenOrder[] = [];
   const refused: TakenOrder[] = [];
   const decisions: (PlacementDecision & { readonly at: Millis })[] = [];
@@ -101,7 +102,7 @@
     return !faults.isGone && timers.now() >= upAt;
   }
 
-  function readReports(): readonly EngineReport[] {
+  function createReports(): readonly EngineReport[] {
     return engines.flatMap(({ facts }) => {
       const state = getState(facts.id);
       const load: EngineLoad = {
@@ -132,7 +133,7 @@
     return want && version ? (want.layers.end - want.layers.first) * version.layerBytes : 0;
   }
 
-  /** What an engine does with an order that arrives. */
+  /** Handles an order that arrives at an engine. */
   function receive(by: string, engine: EngineId, order: Order, answer: (a: OrderAnswer) => void) {
     const state = getState(engine);
     const { faults, boots } = state;
@@ -150,8 +151,8 @@
       boot: boots,
     };
     const accelerator = engines.find(({ facts }) => facts.id === engine)?.facts.accelerator ?? '';
-    const checks = manifest.getAccelerator(accelerator)?.checksFencing ?? false;
-    if (faults.refuses || (checks && number < state.highest)) {
+    const checksFencing = manifest.getAccelerator(accelerator)?.checksFencing ?? false;
+    if (faults.refuses || (checksFencing && number < state.highest)) {
       refused.push(record);
       answer({ kind: 'refused', highest: state.highest });
       return;
@@ -160,7 +161,7 @@
     taken.push(record);
     state.holding = null;
     const layers = want ? want.layers.end - want.layers.first : 0;
-    timers.registerTimeout(layers * perLayer, () => {
+    timers.registerTimeout(layers * loadTimePerLayer, () => {
       if (state.boots !== boots) {
         return;
       }
@@ -168,8 +169,11 @@
         crash(engine);
         return;
       }
-      const half = want && { ...want, layers: { ...want.layers, end: want.layers.first + 1 } };
-      state.holding = state.faults.halfFinishes ? half : want;
+      const partialHolding = want && {
+        ...want,
+        layers: { ...want.layers, end: want.layers.first + 1 },
+      };
+      state.holding = state.faults.halfFinishes ? partialHolding : want;
       if (!state.faults.losesAnswers) {
         answer({ kind: 'done', holding: state.holding });
       }
@@ -193,15 +197,15 @@
 
   function sendOrder(by: string, engine: EngineId, order: Order): Promise<OrderAnswer> {
     return new Promise((resolve) => {
-      const answer = (given: OrderAnswer) =>
-        timers.registerTimeout(WIRE_DELAY, () => resolve(given));
-      const put = () =>
+      const answer = (result: OrderAnswer) =>
+        timers.registerTimeout(WIRE_DELAY, () => resolve(result));
+      const transmit = () =>
         timers.registerTimeout(WIRE_DELAY, () => receive(by, engine, order, answer));
       const process = processes.get(by) as Process;
       if (process.held) {
-        process.held.push(put);
+        process.held.push(transmit);
       } else {
-        put();
+        transmit();
       }
       timers.registerTimeout(60_000, () => resolve({ kind: 'unknown' }));
     });
@@ -218,7 +222,8 @@
       instance,
       isOwnDuty: () => true,
       getManifest: () => manifests.get(instance) ?? manifest,
-      listReports: () => history.findLast(({ at }) => at <= timers.now() - lag)?.reports ?? [],
+      listReports: () =>
+        history.findLast(({ at }) => at <= timers.now() - reportLag)?.reports ?? [],
       sendOrder: (engine, order) => sendOrder(instance, engine, order),
       onDecision: (decision) => decisions.push({ ...decision, at: timers.now() }),
       weights: { bytesPerSecond: 1e13, burst: 60_000 },
@@ -229,9 +234,9 @@
     return runner;
   }
 
-  const note = () => history.push({ at: timers.now(), reports: readReports() });
-  note();
-  timers.registerInterval(1000, note);
+  const recordReports = () => history.push({ at: timers.now(), reports: createReports() });
+  recordReports();
+  timers.registerInterval(1000, recordReports);
 
   return {
     timers,
@@ -251,7 +256,7 @@
       engines = [...engines, engine];
       states.set(engine.facts.id, createState(null));
     },
-    /** Accepts a manifest; with an instance, that one alone goes on with it. */
+    /** Sets the manifest of all instances, or of `instance` only. */
     setManifest(next: PlacementManifest, instance?: string) {
       if (instance === undefined) {
         manifest = next;
@@ -274,7 +279,7 @@
     pause(instance: string) {
       (processes.get(instance) as Process).paused = true;
     },
-    /** Wakes a process: all that was due runs, the latest first, which is the worst order. */
+    /** Resumes a process. Its overdue timers fire with the latest first, which is the worst order. */
     resume(instance: string) {
       const process = processes.get(instance) as Process;
       process.paused = false;
@@ -284,7 +289,7 @@
         .forEach((run) => run());
     },
     run: (time: Millis) => timers.advanceToAsync(timers.now() + time),
-    /** Tokens a second that the engines which are up give. */
+    /** Tokens per second that the engines that are up provide. */
     getCapacity(id: string): number {
       const model = manifest.getModel(id);
       const serving = engines.flatMap((engine) => {
@@ -295,9 +300,9 @@
       });
       return model ? computeModelCapacity(model, serving) : 0;
     },
-    /** What is left to do for a plan that knows the truth. */
+    /** Counts the moves left in a plan made from the engines' actual state. */
     countMovesLeft(): number {
-      const truth = engines.map((engine) => {
+      const actualEngines = engines.map((engine) => {
         const state = getState(engine.facts.id);
         return {
           ...engine,
@@ -306,7 +311,7 @@
           isUsable: isUp(state),
         };
       });
-      const plan = planPlacement({ domain: 'd1', manifest, engines: truth });
+      const plan = planPlacement({ domain: 'd1', manifest, engines: actualEngines });
       return plan.moves.length + plan.blocked.length;
     },
   };
--- a/packages/placement/src/__tests__/PlacementFixtures.ts
+++ b/packages/placement/src/__tests__/PlacementFixtures.ts
@@ -1,4 +1,4 @@
-/** Manifests and engines for the tests of placement: both firms' shapes and one of mixed accelerators. */
+/** Manifests and engines of several kinds of accelerators for the tests of placement. */
 import type { Holding } from '@skylarksail/core/CoreEngine';
 import type {
   PlacementDemand,
@@ -12,7 +12,7 @@
 
 export const GIB = 1024 ** 3;
 
-/** Kinds of accelerators: layers times tokens a second, and bytes of weights. */
+/** Kinds of accelerators, with their layer tokens per second and bytes of memory for weights. */
 export const KINDS = {
   large: { rate: 32000, weightBytes: 64 * GIB },
   medium: { rate: 21300, weightBytes: 40 * GIB },
@@ -41,7 +41,7 @@
   readonly models: readonly PlacementModel[];
   readonly serves?: readonly PlacementDemand[];
   readonly checksFencing?: boolean;
-  /** Racks behind a slow link. */
+  /** Racks that only a slow link connects to the others. */
   readonly slowRacks?: readonly string[];
   readonly revision?: number;
 }
@@ -85,7 +85,7 @@
   };
 }
 
-/** Engines of kinds taken in turn, `perRack` to a rack. */
+/** Engines that cycle through the kinds, `perRack` to a rack. */
 export function createEngines(
   count: number,
   kinds: readonly KindName[],
@@ -100,7 +100,7 @@
   );
 }
 
-/** The state with an engine's holding replaced. */
+/** The state with an engine's holding replaced; `expected` defaults to the new holding. */
 export function setHolding(
   state: PlacementState,
   id: string,
@@ -113,17 +113,17 @@
   return { ...state, engines };
 }
 
-/** The state once every target is reached. */
+/** The state after every engine has reached its target. */
 export function applyTargets(state: PlacementState, plan: PlacementPlan): PlacementState {
   return [...plan.targets].reduce((next, [id, want]) => setHolding(next, id, want), state);
 }
 
-/** The state in which a move has been sent: the engine loads and serves nothing. */
+/** The state after the order for a move was sent: the engine is loading and serves nothing. */
 export function startMove(state: PlacementState, move: PlacementMove): PlacementState {
   return setHolding(state, move.engine, null, move.want);
 }
 
-/** The state in which an engine that loads is done. */
+/** The state after an engine has finished loading. */
 export function finishMove(state: PlacementState, id: string): PlacementState {
   const engine = state.engines.find(({ facts }) => facts.id === id);
   return setHolding(state, id, engine?.expected ?? null);
--- a/packages/placement/src/__tests__/PlacementMeasure.ts
+++ b/packages/placement/src/__tests__/PlacementMeasure.ts
@@ -1,6 +1,6 @@
 /**
- * Figures of placement, one JSON line a case: `node packages/placement/dist/__tests__/PlacementMeasure.js`.
- * The bound is what the engines could do if every one were busy all the time: no placement can do more.
+ * Measures placement and prints a JSON line per case: `node packages/placement/dist/__tests__/PlacementMeasure.js`.
+ * The bound is the total rate of the engines if all are always busy, which no placement can exceed.
  */
 import { UNLIMITED_LINK } from '@skylarksail/routing/RoutingLinks';
 import { createPlan } from '@skylarksail/routing/RoutingPlan';
@@ -17,6 +17,7 @@
 } from './PlacementFixtures.js';
 
 const MILLIS = 1000;
+/** Accelerators that the engines cycle through, in two example deployments and a mixed one. */
 const SAFFRON: readonly KindName[] = ['medium', 'medium', 'small', 'medium', 'small'];
 const CASCADE: readonly KindName[] = ['large', 'medium', 'small', 'medium', 'small'];
 const MIXED: readonly KindName[] = ['large', 'medium', 'small', 'old'];
@@ -30,7 +31,7 @@
     .reduce((sum, { facts }) => sum + facts.decodeLayerTokensPerSecond, 0);
 }
 
-/** Layer tokens a second by the router's max-flow over what the engines hold, links counted. */
+/** Layer tokens per second by the router's maximum flow over the engines' holdings and links. */
 function getFlow(state: PlacementState): number {
   const serves = state.manifest.getDomain('d1')?.serves ?? [];
   return serves.reduce((sum, { model: id }) => {
--- a/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
@@ -14,21 +14,21 @@
 } from '../GroupFixtures.js';
 
 const MOST_COPIES = 8;
-const AT_ONCE: PermittedChanges = {
+const NONE_PERMITTED: PermittedChanges = {
   mayReassign: false,
   mayRebuild: false,
   mayBalance: false,
   mayRepartition: false,
 };
-const IN_NEED: PermittedChanges = {
+const REPAIRS_PERMITTED: PermittedChanges = {
   mayReassign: true,
   mayRebuild: true,
   mayBalance: true,
   mayRepartition: false,
 };
 
-function plan(engines: readonly RangeEngine[], patience = AT_ONCE) {
-  return planCopies(engines, GROUP_MODEL, MOST_COPIES, patience);
+function plan(engines: readonly RangeEngine[], permitted = NONE_PERMITTED) {
+  return planCopies(engines, GROUP_MODEL, MOST_COPIES, permitted);
 }
 
 function createPlaced(memory: readonly number[] = DOMAINS.first ?? []): RangeEngine[] {
@@ -36,7 +36,7 @@
   return applyPlan(engines, plan(engines));
 }
 
-function isSpared(engines: readonly RangeEngine[], lost: RangeEngine): boolean {
+function isRedundant(engines: readonly RangeEngine[], lost: RangeEngine): boolean {
   return (
     findGaps(
       engines.filter((engine) => engine !== lost),
@@ -46,77 +46,75 @@
 }
 
 describe('PlacementCopies', () => {
-  it('orders nothing for the loss of an engine whose layers others hold', () => {
-    // Symptom: each lost engine costs its domain loads and layers that are given up.
-    // Sequence: an engine crashes; it is back, empty, some seconds later.
-    // Cause: its layers were shared out to others meanwhile though they were still held.
+  it('plans nothing for the loss of an engine whose layers others hold until it returns', () => {
+    // Guards against each lost engine causing loads and making others give up layers. An engine crashes and returns
+    // empty some seconds later; the fault is to reassign its layers in between although others still hold them.
     const placed = createPlaced();
     expect(hasCopies(placed)).to.equal(true);
-    for (const lost of placed.filter((engine) => isSpared(placed, engine))) {
+    for (const lost of placed.filter((engine) => isRedundant(placed, engine))) {
       const left = placed.filter((engine) => engine !== lost);
-      expect(plan(left, { ...IN_NEED, mayBalance: false })).to.equal(null);
+      expect(plan(left, { ...REPAIRS_PERMITTED, mayBalance: false })).to.equal(null);
       const back = [...left, { ...lost, id: 'back', held: null }];
       expect(plan(back)?.get('back')).to.deep.equal(lost.held);
     }
   });
 
-  it('gives missing layers to an engine that comes before any range gets one holder more', () => {
+  it('assigns missing layers to a joining engine before it adds a holder to any other range', () => {
     const placed = createPlaced();
-    const alone = placed.find((engine) => !isSpared(placed, engine)) as RangeEngine;
-    const copied = placed.find((engine) => isSpared(placed, engine)) as RangeEngine;
-    const left = placed.filter((engine) => engine !== alone && engine !== copied);
-    const back = [...left, { ...alone, id: 'back', held: null }];
-    expect([...(plan(back) ?? [])]).to.deep.equal([['back', alone.held]]);
+    const soleHolder = placed.find((engine) => !isRedundant(placed, engine)) as RangeEngine;
+    const redundant = placed.find((engine) => isRedundant(placed, engine)) as RangeEngine;
+    const left = placed.filter((engine) => engine !== soleHolder && engine !== redundant);
+    const back = [...left, { ...soleHolder, id: 'back', held: null }];
+    expect([...(plan(back) ?? [])]).to.deep.equal([['back', soleHolder.held]]);
   });
 
-  it('mends a gap with engines that can be spared once it was waited for', () => {
-    // Symptom: a domain has no chain until the engine that it lost is replaced.
-    // Sequence: the one holder of a range is lost for good; no empty engine is there.
-    // Cause: engines of ranges with several holders kept their layers.
+  it('fills a gap with redundant engines once reassignment is permitted', () => {
+    // Guards against a domain without a chain until a lost engine is replaced. The only holder of a range is
+    // lost for good and no engine is empty; the fault is that engines of ranges with several holders keep
+    // their layers.
     for (const memory of Object.values(DOMAINS)) {
       const placed = createPlaced(memory);
-      for (const lost of placed.filter((engine) => !isSpared(placed, engine))) {
+      for (const lost of placed.filter((engine) => !isRedundant(placed, engine))) {
         const left = placed.filter((engine) => engine !== lost);
         expect(plan(left)).to.equal(null);
-        const mended = applyPlan(left, plan(left, IN_NEED));
-        expect(findGaps(mended, GROUP_MODEL)).to.deep.equal([]);
+        const filled = applyPlan(left, plan(left, REPAIRS_PERMITTED));
+        expect(findGaps(filled, GROUP_MODEL)).to.deep.equal([]);
       }
     }
   });
 
-  it('gives up no layer that is held while engines that crashed may still be back', () => {
-    // Symptom: a domain that lost two of eight engines for four seconds has no chain for seven.
-    // Sequence: engines crash together, so that no few of those left can take their layers; they are back,
-    // empty, four seconds later.
-    // Cause: the domain was cut anew 0.3 s after they were found silent, which ends all of its answers.
-    const early = { ...IN_NEED, mayRebuild: false };
+  it('gives up no held layer while crashed engines may still return', () => {
+    // Guards against a domain that loses two of eight engines for four seconds and has no chain for seven. The
+    // engines crash together and return empty four seconds later; a few of the others cannot take their layers.
+    // The fault is to plan the domain from scratch 0.3 s after the loss is detected, which ends all its answers.
+    const permitted = { ...REPAIRS_PERMITTED, mayRebuild: false };
     const placed = createPlaced([72, 36, 36, 36, 36, 36, 14.4, 14.4]);
     const listMissing = (engines: readonly RangeEngine[]): readonly number[] =>
       Array.from({ length: GROUP_MODEL.layers }, (_, layer) => layer).filter(
         (layer) => !engines.some(({ held }) => held && held.first <= layer && layer < held.end),
       );
-    let cuts = 0;
+    let rebuiltCount = 0;
     placed.forEach((one, i) =>
       placed.slice(i + 1).forEach((other) => {
         const left = placed.filter((engine) => engine !== one && engine !== other);
-        const mended = applyPlan(left, plan(left, early));
-        const cut = plan(left, IN_NEED);
-        if (listMissing(mended).length > 0 && cut !== null) {
-          cuts += 1;
-          expect(listMissing(left)).to.include.members([...listMissing(mended)]);
+        const filled = applyPlan(left, plan(left, permitted));
+        const rebuilt = plan(left, REPAIRS_PERMITTED);
+        if (listMissing(filled).length > 0 && rebuilt !== null) {
+          rebuiltCount += 1;
+          expect(listMissing(left)).to.include.members([...listMissing(filled)]);
         }
       }),
     );
-    expect(cuts).to.be.greaterThan(0);
+    expect(rebuiltCount).to.be.greaterThan(0);
   });
 
-  it('moves an engine to a range with one holder from one with three or more, when all is calm', () => {
+  it('moves an engine from a range with three or more holders to a range with one if permitted', () => {
     const placed = createPlaced();
     const groupOf = ({ held }: RangeEngine): RangeEngine[] =>
       placed.filter((engine) => engine.held?.first === held?.first);
     const pair = placed.findLast((engine) => groupOf(engine).length === 2) as RangeEngine;
     const left = placed.filter((engine) => engine !== pair);
-    const moved = plan(left, { ...AT_ONCE, mayBalance: true });
+    const moved = plan(left, { ...NONE_PERMITTED, mayBalance: true });
     expect([...(moved?.values() ?? [])]).to.deep.equal([pair.held]);
     const [donor] = moved?.keys() ?? [];
     const from = left.find(({ id }) => id === donor) as RangeEngine;
@@ -130,7 +128,7 @@
     expect(hasCopies(placed)).to.equal(false);
   });
 
-  it('comes to rest with every layer held, through any series of losses and arrivals', () => {
+  it('converges with every layer held after any series of losses and joins', () => {
     const change = fc.record({ lose: fc.nat(), memory: fc.constantFrom(21.6, 43.2, 72) });
     fc.assert(
       fc.property(fc.array(change, { minLength: 1, maxLength: 8 }), (changes) => {
@@ -139,7 +137,7 @@
           const lost = lose % engines.length;
           engines = engines.filter((_, at) => at !== lost);
           engines.push({ id: `n${i}`, memoryBytes: memory * 1e9, held: null });
-          engines = settle(engines);
+          engines = runToConvergence(engines);
         });
         expect(findGaps(engines, GROUP_MODEL)).to.deep.equal([]);
       }),
@@ -147,11 +145,11 @@
   });
 });
 
-/** Carries plans out step by step until none is left; no step may break a chain or overfill an engine. */
-function settle(start: readonly RangeEngine[]): RangeEngine[] {
+/** Executes plans step by step until there are none; no step may break a whole chain or overfill an engine. */
+function runToConvergence(start: readonly RangeEngine[]): RangeEngine[] {
   let engines = [...start];
   for (let round = 0; round < 30; round++) {
-    const goals = plan(engines, { ...IN_NEED, mayBalance: false });
+    const goals = plan(engines, { ...REPAIRS_PERMITTED, mayBalance: false });
     if (goals === null) {
       return engines;
     }
@@ -165,5 +163,5 @@
       expect(engines.every((other) => getWeights(other) <= other.memoryBytes)).to.equal(true);
     }
   }
-  throw new Error('plans never come to rest');
+  throw new Error('plans do not converge');
 }
--- a/packages/placement/src/__tests__/unit/PlacementFaults.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementFaults.test.ts
@@ -5,9 +5,10 @@
 import type { KindName } from '../PlacementFixtures.js';
 import { createEngines, createManifest, createModel } from '../PlacementFixtures.js';
 
-// Faults in pairs, drawn by seed: two instances place a domain while versions change; each fault lasts a
-// while; then all is well again and the domain must come to rest where its manifest wants it. Each pair runs
-// before engines of one sort; ALL_PLACEMENT_PAIRS=1 runs each before both.
+// Pairs of faults, at times and engines drawn by seed: two instances place a domain during a version
+// rollout, and each fault lasts a while. Once both have ended, the domain must converge to its manifest.
+// Each pair runs either with engines that check fencing numbers or with engines that ignore them;
+// ALL_PLACEMENT_PAIRS=1 runs each pair with both.
 
 const KINDS: readonly KindName[] = ['medium', 'medium', 'small', 'medium', 'small'];
 const WRITER = createModel('writer', 48);
@@ -37,7 +38,7 @@
     end: (bed, _, instance) => bed.resume(instance),
   },
   {
-    name: 'pause before the bytes leave',
+    name: 'pause before orders are sent',
     start(bed, _, instance) {
       bed.holdOrders(instance);
       bed.pause(instance);
@@ -48,7 +49,7 @@
     },
   },
   {
-    name: 'cut off from the platform',
+    name: 'platform unreachable',
     start: (bed, _, instance) => bed.platform.setFaults({ outage: true }, instance),
     end: (bed, _, instance) => bed.platform.setFaults({ outage: false }, instance),
   },
@@ -68,18 +69,19 @@
 
 const PAIRS = FAULTS.flatMap((a, i) => FAULTS.slice(i).map((b) => [a, b] as const));
 
-function isAtRest(bed: Bed): boolean {
-  const isNew = ({ facts }: (typeof ENGINES)[number]) => bed.getHolding(facts.id)?.version === 'v2';
-  return ENGINES.every(isNew) && bed.countMovesLeft() === 0;
+function isConverged(bed: Bed): boolean {
+  const isNewVersion = ({ facts }: (typeof ENGINES)[number]) =>
+    bed.getHolding(facts.id)?.version === 'v2';
+  return ENGINES.every(isNewVersion) && bed.countMovesLeft() === 0;
 }
 
-async function runPair([a, b]: readonly [Fault, Fault], seed: number, checks: boolean) {
+async function runPair([a, b]: readonly [Fault, Fault], seed: number, isFenced: boolean) {
   const random = createRandom(seed);
-  const first = createManifest({ models: [WRITER], serves: SERVES, checksFencing: checks });
+  const first = createManifest({ models: [WRITER], serves: SERVES, checksFencing: isFenced });
   const next = createManifest({
     models: [{ ...WRITER, serve: 'v2' }],
     serves: SERVES,
-    checksFencing: checks,
+    checksFencing: isFenced,
     revision: 2,
   });
   const bed = createBed({ engines: ENGINES, manifest: first, isPlaced: true, seed });
@@ -97,13 +99,13 @@
   const during = bed.getCapacity('writer');
   a.end(bed, x, 'a');
   b.end(bed, y, 'b');
-  for (let minutes = 0; minutes < 20 && !isAtRest(bed); minutes++) {
+  for (let minutes = 0; minutes < 20 && !isConverged(bed); minutes++) {
     await bed.run(MINUTE);
   }
   return { bed, during };
 }
 
-function checkNumbers({ taken }: Bed): void {
+function expectNonDecreasingNumbers({ taken }: Bed): void {
   const highest = new Map<string, number>();
   for (const { engine, number, boot } of taken) {
     const key = `${engine}/${boot}`;
@@ -113,21 +115,21 @@
 }
 
 describe('placement under pairs of faults', () => {
-  for (const checks of [true, false]) {
-    it(`comes to rest after each pair: engines that ${checks ? 'check' : 'ignore'} numbers`, async () => {
+  for (const isFenced of [true, false]) {
+    it(`converges after each pair: engines that ${isFenced ? 'check' : 'ignore'} fencing numbers`, async () => {
       for (const [i, pair] of PAIRS.entries()) {
-        if (!RUNS_ALL && (i % 2 === 0) !== checks) {
+        if (!RUNS_ALL && (i % 2 === 0) !== isFenced) {
           continue;
         }
         const name = `${pair[0].name} and ${pair[1].name}, seed ${i}`;
-        const { bed, during } = await runPair(pair, i, checks);
+        const { bed, during } = await runPair(pair, i, isFenced);
         expect(during, name).to.be.above(0);
         expect(bed.countMovesLeft(), name).to.equal(0);
         ENGINES.forEach(({ facts }) =>
           expect(bed.getHolding(facts.id), `${name}: ${facts.id}`).to.include({ version: 'v2' }),
         );
-        if (checks) {
-          checkNumbers(bed);
+        if (isFenced) {
+          expectNonDecreasingNumbers(bed);
         }
       }
     });
--- a/packages/placement/src/__tests__/unit/PlacementGroups.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementGroups.test.ts
@@ -14,7 +14,7 @@
 const REQUEST_BYTES =
   (GROUP_MODEL.kvTokenBytes * (GROUP_MODEL.usualPromptTokens + GROUP_MODEL.usualAnswerTokens)) /
   GROUP_MODEL.layers;
-/** Requests of 3 s that a domain runs when it gets a third of 57 a second. */
+/** Concurrent requests of 3 s in a domain that gets a third of 57 requests per second. */
 const ORDINARY_LOAD = 57;
 
 function place(memory: readonly number[], mostCopies = 8) {
@@ -24,25 +24,25 @@
 }
 
 describe('PlacementGroups', () => {
-  it('keeps a whole chain with room for the load when any but few engines are lost', () => {
-    // Symptom: a domain of a dozen engines serves nothing for 5 to 8 seconds, again and again.
-    // Sequence: an engine leaves, another crashes, a third is replaced, each of them in a chain of all.
-    // Cause: each layer had one holder; and where it had two, the one that was left had no room for both
-    // loads, so that it refused one arrival in three.
+  it('keeps a whole chain with enough KV cache after the loss of any engine except at most two', () => {
+    // Guards against a domain of a dozen engines that repeatedly serves nothing for 5 to 8 seconds. An engine
+    // leaves, another crashes, a third is replaced, and a single chain uses all engines. The fault is one holder
+    // per layer, or two of which the remaining one lacks the KV cache for both loads and refuses one request in
+    // three.
     for (const memory of Object.values(DOMAINS)) {
       const placed = place(memory);
       const engines = placed?.engines ?? [];
-      const spared = engines.filter((lost) => {
+      const redundant = engines.filter((lost) => {
         const left = engines.filter((engine) => engine !== lost);
         const isWhole = findGaps(left, GROUP_MODEL).length === 0;
         expect(!isWhole || getLeastRoom(left) >= ORDINARY_LOAD * REQUEST_BYTES).to.equal(true);
         return isWhole;
       });
-      expect(engines.length - spared.length).to.be.at.most(2);
+      expect(engines.length - redundant.length).to.be.at.most(2);
     }
   });
 
-  it('covers every layer without filling an engine beyond its memory, whatever the fleet', () => {
+  it('covers every layer without exceeding the memory of any engine', () => {
     fc.assert(
       fc.property(
         fc.array(fc.constantFrom(14.4, 21.6, 36, 43.2, 72), { maxLength: 40 }),
@@ -64,13 +64,13 @@
     );
   });
 
-  it('puts the group with the most engines first, since the first of a chain bounds what it takes', () => {
+  it('puts the group with the most engines first, because its slots limit what a domain runs', () => {
     const sizes =
       place(DOMAINS.first ?? [])?.layout.groups.map(({ engines }) => engines.length) ?? [];
     expect(sizes[0]).to.equal(Math.max(...sizes));
   });
 
-  it('makes no copies where the weights fill the memory, or where none are wanted', () => {
+  it('creates no layout if the weights fill the memory, or if only one copy is allowed', () => {
     expect(place([72, 36, 36, 21.6])).to.equal(null);
     expect(place([])).to.equal(null);
     expect(place(DOMAINS.first ?? [], 1)).to.equal(null);
--- a/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
@@ -18,14 +18,14 @@
   };
 }
 
-function createPlaced(checksFencing: boolean, options: Partial<BedOptions> = {}): Bed {
+function createPlacedBed(checksFencing: boolean, options: Partial<BedOptions> = {}): Bed {
   const { first } = createManifests(checksFencing);
   const engines = createEngines(14, KINDS);
   return createBed({ engines, manifest: first, isPlaced: true, ...options });
 }
 
-/** Engines that check must never take a number lower than one before. */
-function checkNumbers({ taken }: Bed): void {
+/** Checks that no engine accepted an order with a lower number than an earlier one. */
+function expectNonDecreasingNumbers({ taken }: Bed): void {
   const highest = new Map<string, number>();
   for (const { engine, number } of taken) {
     expect(number).to.be.at.least(highest.get(engine) ?? 0);
@@ -39,9 +39,11 @@
 
 describe('placement orders', () => {
   for (const checksFencing of [true, false]) {
-    const name = checksFencing ? 'engines that check numbers' : 'engines that ignore numbers';
+    const name = checksFencing
+      ? 'engines that check fencing numbers'
+      : 'engines that ignore fencing numbers';
 
-    it(`places an empty domain, and a planned stop hands it over: ${name}`, async () => {
+    it(`places an empty domain and hands it over at a planned stop: ${name}`, async () => {
       const bed = createBed({
         engines: createEngines(14, KINDS),
         manifest: createManifests(checksFencing).first,
@@ -67,14 +69,14 @@
       const wait = (orders[0]?.at ?? 0) - stoppedAt;
       expect(wait).to.be.above(checksFencing ? 0 : 7000);
       expect(wait).to.be.below(checksFencing ? 12_000 : 16_000);
-      checkNumbers(bed);
+      expectNonDecreasingNumbers(bed);
     });
 
-    it(`a holder paused past its lease sends nothing when it wakes: ${name}`, async () => {
-      // Symptom: engines go back to what an old plan said. Sequence: the holder is paused; its lease
-      // lapses; a successor places a newer manifest; the holder wakes with timers overdue. Cause: it
-      // acts on a look at its lease from before the pause.
-      const bed = createPlaced(checksFencing);
+    it(`a holder paused past its lease sends nothing after it resumes: ${name}`, async () => {
+      // Guards against engines that revert to an old plan: the holder is paused, its lease lapses, a
+      // successor places a newer manifest, and the holder resumes with overdue timers. It must not act
+      // on a reading of its lease from before the pause.
+      const bed = createPlacedBed(checksFencing);
       bed.start('a');
       await bed.run(20_000);
       bed.start('b');
@@ -93,10 +95,10 @@
     });
   }
 
-  it('an order that left a paused holder late is refused by engines that check', async () => {
-    // Symptom: an engine loads an old version again. Sequence: the holder looks at its lease, is paused
-    // before the bytes leave, wakes long after. Cause: no look can cover a pause after it.
-    const bed = createPlaced(true);
+  it('engines that check fencing numbers refuse an order that a pause of its holder delayed', async () => {
+    // Guards against an engine that loads an old version again: the holder reads its lease, is paused
+    // before the order is sent, and resumes long after. A check of the lease cannot cover a later pause.
+    const bed = createPlacedBed(true);
     bed.start('a');
     await bed.run(60_000);
     bed.setManifest(createManifests(true).next);
@@ -114,13 +116,13 @@
     expect(bed.refused.map(({ by }) => by)).to.include('a');
     expect(bed.taken.length).to.equal(before);
     expect(bed.countMovesLeft()).to.equal(0);
-    checkNumbers(bed);
+    expectNonDecreasingNumbers(bed);
   });
 
-  it('a lost answer is settled by the report, without a second order', async () => {
-    // Symptom: an engine loads the same layers twice. Sequence: it does what it was told; the answer is
-    // lost. Cause: no answer is taken for no effect.
-    const bed = createPlaced(false);
+  it('settles an order by the report if its answer is lost, without a second order', async () => {
+    // Guards against an engine that loads the same layers twice: it carries out an order, the answer is
+    // lost, and the holder takes a missing answer to mean that the order had no effect.
+    const bed = createPlacedBed(false);
     bed.start('a');
     await bed.run(20_000);
     createEngines(14, KINDS).forEach(({ facts }) =>
@@ -134,10 +136,10 @@
   });
 
   for (const share of [0.4, 0.6]) {
-    it(`keeps a minimum of ${share} of the capacity while versions change and the holder does too`, async () => {
-      // Symptom: requests wait while a version changes. Sequence: orders are done; reports still show
-      // what was held before; another instance takes over half-way. Cause: engines that load already
-      // are counted as serving, and more are sent to load.
+    it(`keeps a minimum of ${share} of the capacity while the version and the lease holder change`, async () => {
+      // Guards against requests that wait during a version rollout: orders are done, reports still show
+      // the previous holdings, and another instance takes over half-way. If engines that already load
+      // count as serving, too many are ordered to load.
       const serves = [{ model: 'writer', minTokensPerSecond: share * 4900, weight: 1 }];
       const manifest = createManifest({ models: [WRITER], serves });
       const bed = createBed({ engines: createEngines(14, KINDS), manifest, isPlaced: true });
@@ -157,8 +159,8 @@
     });
   }
 
-  it('an order that was never taken is sent again', async () => {
-    const bed = createPlaced(true);
+  it('sends an order again that its engine never received', async () => {
+    const bed = createPlacedBed(true);
     bed.setFaults('e003', { losesOrders: true });
     bed.start('a');
     bed.setManifest(createManifests(true).next);
@@ -172,13 +174,13 @@
 
   for (const [name, faults] of [
     ['refuses orders', { refuses: true }],
-    ['half-finishes', { halfFinishes: true }],
+    ['loads only part of its layers', { halfFinishes: true }],
     ['crashes in a loop', { crashesOnLoad: true }],
-    ['leaves', { isLeaving: true }],
+    ['is leaving', { isLeaving: true }],
     ['is gone', { isGone: true }],
   ] as const) {
-    it(`plans around an engine that ${name}, and uses it again when it is well`, async () => {
-      const bed = createPlaced(true);
+    it(`plans around an engine that ${name}, and uses it again once it recovers`, async () => {
+      const bed = createPlacedBed(true);
       bed.start('a');
       await bed.run(20_000);
       const [first, second] = ['e000', 'e001'];
@@ -188,8 +190,8 @@
         bed.crash(second);
       }
       await bed.run(300_000);
-      const toSick = [...bed.taken, ...bed.refused].filter(({ engine }) => engine === first);
-      expect(toSick.length).to.be.at.most(8);
+      const toFaulty = [...bed.taken, ...bed.refused].filter(({ engine }) => engine === first);
+      expect(toFaulty.length).to.be.at.most(8);
       expect(bed.getCapacity('writer')).to.be.above(3000);
       expect(bed.getRunner('a').getStatus().enginesPlannedAround).to.include(first);
       bed.setFaults(first, {
@@ -205,11 +207,13 @@
     });
   }
 
-  it('keeps to the weight store rate and spends it on restoring first', async () => {
-    // Symptom: a lost stage waits behind a change of version. Sequence: versions change; a stage dies.
-    // Cause: the store's rate is spent in the order in which the moves were found.
+  it('stays within the weight store rate and spends it on restore moves first', async () => {
+    // Guards against a lost stage that waits behind a version rollout: a stage fails during the rollout,
+    // and the store's rate is spent in the order in which the moves were found.
     const rate = 1e9;
-    const bed = createPlaced(true, { deps: { weights: { bytesPerSecond: rate, burst: 60_000 } } });
+    const bed = createPlacedBed(true, {
+      deps: { weights: { bytesPerSecond: rate, burst: 60_000 } },
+    });
     bed.start('a');
     await bed.run(70_000);
     bed.setManifest(createManifests(true).next);
@@ -235,18 +239,18 @@
     expect(bytes).to.be.at.most((bed.timers.now() / 1000) * rate + largest);
   });
 
-  it('a domain cut off from the platform stops when its lease ends, and nothing reverts', async () => {
-    // Symptom: after a partition, engines go back and forth. Sequence: the holder cannot renew; another
-    // instance that can takes the lease under a newer manifest; the first comes back. Cause: the first
-    // goes on placing under its old manifest.
-    const bed = createPlaced(false);
+  it('a holder cut off from the platform stops when its lease ends, and no engine reverts', async () => {
+    // Guards against engines that switch back and forth after a partition: the holder cannot renew its
+    // lease, another instance takes it under a newer manifest, and the first reconnects. The first must
+    // not continue to place under its old manifest.
+    const bed = createPlacedBed(false);
     bed.start('a');
     await bed.run(60_000);
     bed.setManifest(createManifests(false).first, 'a');
     bed.platform.setFaults({ outage: true }, 'a');
     bed.crash('e000');
     await bed.run(9000);
-    // Within its lease it still restores what was lost.
+    // While its lease lasts, it still restores what the crash lost.
     expect(bed.taken.filter(({ by }) => by === 'a').length).to.be.above(0);
     await bed.run(20_000);
     expect(bed.getRunner('a').getStatus().phase).to.equal(PlacementPhase.Stopped);
@@ -257,17 +261,17 @@
     expect(bed.taken.slice(before).every(({ by }) => by === 'b')).to.equal(true);
     bed.setManifest(createManifests(false).next);
     bed.platform.setFaults({ outage: false }, 'a');
-    const rejoined = bed.taken.length;
+    const takenBeforeReconnect = bed.taken.length;
     await bed.run(120_000);
-    expect(bed.taken.length).to.equal(rejoined);
+    expect(bed.taken.length).to.equal(takenBeforeReconnect);
     expect(bed.countMovesLeft()).to.equal(0);
   });
 
-  it('an engine with a number that the platform never gave stops nobody', async () => {
-    // Symptom: a domain is never placed again. Sequence: something that is not ours gives an engine an
-    // order with a huge number; each holder takes itself for outdated. Cause: a number from an engine
-    // goes before the platform's word.
-    const bed = createPlaced(true);
+  it('a fencing number that the platform never issued does not stop placement', async () => {
+    // Guards against a domain that is never placed again: a foreign program sends an engine an order
+    // with a huge number, and each holder trusts that number over the platform and considers its own
+    // lease outdated.
+    const bed = createPlacedBed(true);
     bed.start('a');
     await bed.run(60_000);
     bed.setHighestOrderNumber('e002', Number.MAX_SAFE_INTEGER);
@@ -279,11 +283,11 @@
     expect(bed.getHolding('e001')).to.not.equal(null);
   });
 
-  it('a late order from a paused holder is undone at engines that ignore numbers, within its window', async () => {
-    // Symptom: an engine holds what nobody wants. Sequence: the holder looks at its lease and is paused
-    // before the bytes leave; its successor orders something else; the old order arrives at last.
-    // Cause: such an engine takes any order, and no clock of ours reaches into a pause.
-    const bed = createPlaced(false);
+  it('corrects a late order from a paused holder in bounded time at engines that ignore fencing numbers', async () => {
+    // Guards against an engine that holds what no plan asks for: the holder reads its lease and is paused
+    // before the order is sent, its successor orders something else, and then the old order arrives.
+    // Such an engine accepts any order, and a holder cannot check the time during its own pause.
+    const bed = createPlacedBed(false);
     bed.start('a');
     await bed.run(60_000);
     bed.setManifest(createManifests(false).next);
@@ -297,22 +301,22 @@
     await bed.run(300_000);
     expect(bed.countMovesLeft()).to.equal(0);
     const before = bed.taken.length;
-    const wokenAt = bed.timers.now();
+    const resumedAt = bed.timers.now();
     bed.releaseOrders('a');
     bed.resume('a');
     await bed.run(100);
     const late = bed.taken.slice(before);
     expect(late.map(({ by }) => by)).to.include('a');
-    let mendedAt = 0;
-    for (let i = 0; i < 120 && mendedAt === 0; i++) {
+    let correctedAt = 0;
+    for (let i = 0; i < 120 && correctedAt === 0; i++) {
       await bed.run(1000);
-      mendedAt =
+      correctedAt =
         bed.countMovesLeft() === 0 && bed.getHolding(late[0]?.engine ?? '') ? bed.timers.now() : 0;
     }
-    // Loading what the late order says, the age of reports, a tick, and loading again.
+    // Loading what the late order says, the age of reports, a tick, and loading the right layers again.
     const layers = (late[0]?.want?.layers.end ?? 0) - (late[0]?.want?.layers.first ?? 0);
-    expect(mendedAt - wokenAt).to.be.above(0);
-    expect(mendedAt - wokenAt).to.be.at.most(2 * layers * 200 + 3000 + 4000);
+    expect(correctedAt - resumedAt).to.be.above(0);
+    expect(correctedAt - resumedAt).to.be.at.most(2 * layers * 200 + 3000 + 4000);
     expect(countDecisions(bed, DecisionKind.Overwritten)).to.be.above(0);
   });
 });
--- a/packages/placement/src/__tests__/unit/PlacementPlan.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementPlan.test.ts
@@ -19,6 +19,7 @@
   startMove,
 } from '../PlacementFixtures.js';
 
+/** Accelerators that the engines cycle through, in two example deployments and a mixed one. */
 const SAFFRON: readonly KindName[] = ['medium', 'medium', 'small', 'medium', 'small'];
 const CASCADE: readonly KindName[] = ['large', 'medium', 'small', 'medium', 'small'];
 const MIXED: readonly KindName[] = ['large', 'medium', 'small', 'old'];
@@ -34,7 +35,7 @@
   return { domain: 'd1', manifest, engines: createEngines(count, kinds) };
 }
 
-/** Share of the hardware's bound, the sum of all rates, that a plan reaches. */
+/** Share of the total rate of all usable engines that a plan reaches. */
 function getRatio(state: PlacementState): number {
   const used = [...planPlacement(state).capacities].reduce(
     (sum, [id, rate]) => sum + rate * (state.manifest.getModel(id)?.layers ?? 0),
@@ -49,7 +50,7 @@
   return model ? computeModelCapacity(model, listServing(state.engines)) : 0;
 }
 
-/** Makes moves until none is left, finishing loads in a drawn order; checks after each step. */
+/** Executes moves until none is left and finishes loads in a random order; calls `check` after each step. */
 function runMoves(
   start: PlacementState,
   seed: number,
@@ -73,10 +74,10 @@
     state = finishMove(state, done.facts.id);
     check(state);
   }
-  throw new Error('moves do not end');
+  throw new Error('moves do not converge');
 }
 
-/** Whether what is routed to gives the minimum, and a draw names a version that is whole. */
+/** Checks that the versions to route to together reach the minimum and that one of them can be drawn. */
 function checkServed(state: PlacementState, minimum: number): void {
   const model = state.manifest.getModel('writer');
   const engines = state.engines.map(({ facts, holding }) => ({
@@ -105,7 +106,7 @@
     ['mixed accelerators with a slow rack', 18, MIXED, { slowRacks: ['r1'] }],
     ['a large domain', 120, MIXED, {}],
   ] as const) {
-    it(`comes near the bound of the hardware and rests there: ${name}`, () => {
+    it(`uses over 95% of the engines' total rate and plans no further moves: ${name}`, () => {
       const state = createState(count, kinds, options);
       expect(getRatio(state)).to.be.above(0.95);
       const reached = applyTargets(state, planPlacement(state));
@@ -114,7 +115,7 @@
     });
   }
 
-  it('keeps a model whole inside racks that a slow link joins', () => {
+  it('places a whole model inside a rack behind a slow link', () => {
     const state = createState(24, MIXED, { models: [WRITER], slowRacks: ['r2'] });
     const { targets } = planPlacement(state);
     const layers = state.engines
@@ -124,7 +125,7 @@
     expect(Math.max(...layers.map((range) => range?.end ?? 0))).to.equal(48);
   });
 
-  it('gives a model its minimum before the other its weight', () => {
+  it('meets the minimum of a model before it shares capacity by weight', () => {
     const serves = [
       { model: 'writer', minTokensPerSecond: 3200, weight: 1 },
       { model: 'notes', minTokensPerSecond: 0, weight: 50 },
@@ -134,9 +135,9 @@
     expect(capacities.get('notes')).to.be.above(0);
   });
 
-  it('moves few engines for the loss of any one, and none for a return', () => {
-    // Symptom: the loss of one engine reloads the domain. Sequence: an engine dies; the plan is made
-    // anew; the best cut is another one. Cause: a plan that does not weigh what its moves cost.
+  it('moves few engines for the loss of any one, and none once it is back', () => {
+    // Guards against the loss of one engine reloading the domain. An engine fails, and another partition is now
+    // the best one; the fault is to plan without weighing the cost of the moves.
     const first = createState(16, CASCADE);
     const state = applyTargets(first, planPlacement(first));
     const moves = state.engines.map(({ facts }) => {
@@ -150,22 +151,23 @@
     expect(planPlacement(state).moves).to.deep.equal([]);
   });
 
-  it('does not hang on the order in which engines are told', () => {
+  it('does not depend on the order of the engines', () => {
     const state = createState(18, MIXED);
-    const turned = { ...state, engines: [...state.engines].reverse() };
+    const reversed = { ...state, engines: [...state.engines].reverse() };
     const { targets } = planPlacement(state);
-    planPlacement(turned).targets.forEach((want, id) =>
+    planPlacement(reversed).targets.forEach((want, id) =>
       expect(want).to.deep.equal(targets.get(id)),
     );
   });
 
   for (const share of [0.3, 0.45, 0.6]) {
     it(`changes a version without going below a minimum of ${share} of the capacity`, () => {
-      // Symptom: requests wait while a version changes. Sequence: engines of all stages load the new
-      // version; no whole chain of either is left. Cause: changing stage after stage without counting.
+      // Guards against requests waiting during a version change. Engines of all stages load the new version until
+      // neither version has a whole chain; the fault is to change stages without checking the capacity left.
       const models = [WRITER];
-      const bare = createState(28, SAFFRON, { models });
-      const minTokensPerSecond = share * (planPlacement(bare).capacities.get('writer') ?? 0);
+      const withoutMinimum = createState(28, SAFFRON, { models });
+      const minTokensPerSecond =
+        share * (planPlacement(withoutMinimum).capacities.get('writer') ?? 0);
       const serves = [{ model: 'writer', minTokensPerSecond, weight: 1 }];
       const old = createState(28, SAFFRON, { models, serves });
       const held = applyTargets(old, planPlacement(old));
@@ -178,10 +180,10 @@
     });
   }
 
-  it('changes a version while engines die and come, and never strands the model', () => {
-    // Symptom: a model is gone half-way through a change of version. Sequence: the last engine of the
-    // old version's stage dies while the new version has no whole chain. Cause: its replacement loads
-    // the new version, and the old chain stays broken until the whole change is done.
+  it('changes a version while engines fail and return, and keeps the model served', () => {
+    // Guards against a model without capacity in the middle of a version change. The last engine of a stage of
+    // the old version fails while the new version has no whole chain; the fault is that its replacement loads
+    // the new version, so that the old chain stays broken until the whole change is done.
     const models = [WRITER];
     const serves = [{ model: 'writer', minTokensPerSecond: 1500, weight: 1 }];
     const old = createState(15, SAFFRON, { models, serves });
@@ -192,20 +194,20 @@
       const seen: PlacementState[] = [];
       runMoves({ ...held, manifest }, seed, (now) => seen.push(now));
       const midway = seen[random.nextInt(seen.length)] as PlacementState;
-      const dead = midway.engines[random.nextInt(15)]?.facts.id ?? '';
-      const lost = setHolding(setUsable(midway, dead, false), dead, null);
+      const failed = midway.engines[random.nextInt(15)]?.facts.id ?? '';
+      const lost = setHolding(setUsable(midway, failed, false), failed, null);
       const after = runMoves(lost, seed, () => undefined).state;
       expect(getCapacity(after, 'writer')).to.be.at.least(1500);
-      const live = after.engines.filter(({ facts }) => facts.id !== dead);
+      const live = after.engines.filter(({ facts }) => facts.id !== failed);
       expect(live.every(({ holding }) => holding?.version === 'v2')).to.equal(true);
-      const back = runMoves(setUsable(after, dead, true), seed, (now) =>
+      const back = runMoves(setUsable(after, failed, true), seed, (now) =>
         checkServed(now, 1500),
       ).state;
       expect(back.engines.every(({ holding }) => holding?.version === 'v2')).to.equal(true);
     }
   });
 
-  it('restores a lost stage before anything else, in the version that makes a chain whole', () => {
+  it('restores a lost stage before anything else, in the version that completes a chain', () => {
     const models = [WRITER];
     const serves = [{ model: 'writer', minTokensPerSecond: 1000, weight: 1 }];
     const old = createState(14, SAFFRON, { models, serves });
