--- a/packages/placement/src/__tests__/unit/PlacementRanges.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementRanges.test.ts
@@ -5,7 +5,7 @@
 
 const GB = 1e9;
 const MODEL = { layers: 80, layerBytes: 1.75 * GB };
-/** Memory of one domain's engines, of four kinds. */
+/** Memory in GB of one domain's engines, of four kinds. */
 const MEMORY = [72, 36, 21.6, 21.6, 21.6, 21.6, 21.6, 14.4, 14.4, 14.4, 14.4, 14.4, 14.4, 14.4];
 
 function createEngines(memory: readonly number[] = MEMORY): RangeEngine[] {
@@ -21,7 +21,7 @@
 }
 
 describe('PlacementRanges', () => {
-  it('covers every layer once, and leaves each engine the same memory for a request', () => {
+  it('covers every layer once and leaves similar KV cache per layer on each engine', () => {
     const engines = createEngines();
     const placed = apply(engines, planRanges(engines, MODEL, true));
     expect(findGaps(placed, MODEL)).to.deep.equal([]);
@@ -31,7 +31,7 @@
     expect(Math.min(...rooms)).to.be.greaterThan(0.8);
   });
 
-  it('never gives an engine more weights than it holds, whatever the fleet', () => {
+  it('never exceeds the memory of an engine', () => {
     fc.assert(
       fc.property(fc.array(fc.constantFrom(14.4, 21.6, 36, 72), { maxLength: 20 }), (memory) => {
         const engines = createEngines(memory);
@@ -46,16 +46,15 @@
     );
   });
 
-  it('leaves a domain that is whole as it is', () => {
+  it('does not change a domain that was just partitioned', () => {
     const engines = createEngines();
     const placed = apply(engines, planRanges(engines, MODEL, true));
     expect(planRanges(placed, MODEL, true)).to.equal(null);
   });
 
-  it('gives the layers of a lost engine to the one that comes in its place, and moves no other', () => {
-    // Symptom: the loss of one engine reloads a dozen.
-    // Sequence: an engine crashes and is back empty under a new id.
-    // Cause: the domain is cut anew, by which every boundary moves.
+  it('assigns the layers of a lost engine to its replacement and moves no other engine', () => {
+    // Guards against the loss of one engine reloading a dozen. An engine crashes and returns empty under a new
+    // ID; the fault is to repartition the domain, which moves every boundary.
     const engines = createEngines();
     const placed = apply(engines, planRanges(engines, MODEL, true));
     const lost = placed[4];
@@ -66,28 +65,28 @@
     expect([...(plan ?? [])]).to.deep.equal([['new', lost?.held]]);
   });
 
-  it('shares a gap’s layers out to few engines next to it', () => {
-    // Symptom: each lost engine costs its domain five seconds without a chain while others lose theirs.
-    // Sequence: engines of every domain leave at once; no empty one is there.
-    // Cause: each domain was cut anew, thirty loads that all share the weight store.
+  it('distributes the layers of a gap among a few engines around it', () => {
+    // Guards against five seconds without a chain per lost engine while other domains lose theirs too. Engines
+    // of every domain leave at once and no engine is empty; the fault is to repartition each domain, which
+    // makes thirty loads share the weight store.
     const engines = createEngines();
     const placed = apply(engines, planRanges(engines, MODEL, true));
     placed.forEach((lost) => {
       const left = placed.filter((engine) => engine !== lost);
       const plan = planRanges(left, MODEL, true);
-      const mended = apply(left, plan);
-      expect(findGaps(mended, MODEL)).to.deep.equal([]);
-      mended.forEach(({ memoryBytes, held }) => {
+      const filled = apply(left, plan);
+      expect(findGaps(filled, MODEL)).to.deep.equal([]);
+      filled.forEach(({ memoryBytes, held }) => {
         const bytes = held ? (held.end - held.first) * MODEL.layerBytes : 0;
         expect(bytes).to.be.at.most(0.85 * memoryBytes);
       });
-      const moved = mended.filter(({ held }, i) => held !== left[i]?.held);
+      const moved = filled.filter(({ held }, i) => held !== left[i]?.held);
       const isLarge = lost.memoryBytes > 40 * GB;
       expect(moved.length).to.be.at.most(isLarge ? left.length : 6);
     });
   });
 
-  it('cuts anew only where it may, when no engine is free for the missing layers', () => {
+  it('changes held ranges only if permitted when no spare engine can take the missing layers', () => {
     const engines = createEngines();
     const placed = apply(engines, planRanges(engines, MODEL, true));
     const left = placed.slice(0, -1);
@@ -96,7 +95,7 @@
     expect(findGaps(recut, MODEL)).to.deep.equal([]);
   });
 
-  it('orders nothing where the engines cannot hold the model', () => {
+  it('plans nothing if the engines cannot hold the model', () => {
     expect(planRanges(createEngines([14.4, 14.4]), MODEL, true)).to.equal(null);
     expect(planRanges([], MODEL, true)).to.equal(null);
   });
--- a/packages/placement/src/__tests__/unit/PlacementSteps.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementSteps.test.ts
@@ -15,8 +15,8 @@
   }));
 }
 
-/** Steps the engines, in the order drawn, until none has a step left. */
-function run(
+/** Steps the engines in the given order, in enough rounds for all to finish; checks after each step. */
+function runSteps(
   start: readonly RangeEngine[],
   goals: readonly LayerRange[],
   order: readonly number[],
@@ -36,30 +36,30 @@
 }
 
 describe('PlacementSteps', () => {
-  it('keeps every layer held while boundaries move, and arrives', () => {
-    // Symptom: a domain that is cut anew for more room serves nothing for eight seconds.
-    // Sequence: each engine gives layers up and takes others at the same moment.
-    // Cause: layers are given up before anybody else holds them.
+  it('keeps every layer held while boundaries move, and reaches the goal', () => {
+    // Guards against a domain that serves nothing for eight seconds while its boundaries move to make
+    // more room: each engine gives up layers and takes others at the same moment, before any other
+    // engine holds the layers given up.
     const inner = fc.uniqueArray(fc.integer({ min: 1, max: 11 }), { minLength: 3, maxLength: 3 });
     const cuts = inner.map((list) => [...list.sort((a, b) => a - b), 12]);
     const order = fc.shuffledSubarray([0, 1, 2, 3], { minLength: 4, maxLength: 4 });
     fc.assert(
       fc.property(cuts, cuts, order, (before, after, turns) => {
         const goals = createEngines(after, 0).map(({ held }) => held as LayerRange);
-        const ended = run(createEngines(before, 100), goals, turns, (engines) =>
+        const ended = runSteps(createEngines(before, 100), goals, turns, (engines) =>
           expect(findGaps(engines, MODEL)).to.deep.equal([]),
         );
-        const touching = goals.every((goal, i) => {
+        const isContiguous = goals.every((goal, i) => {
           const held = { first: before[i - 1] ?? 0, end: before[i] ?? 12 };
           return held.first <= goal.end && goal.first <= held.end;
         });
-        const isThere = ended.every(({ held }, i) => isSameRange(held, goals[i] as LayerRange));
-        expect(isThere || !touching).to.equal(true);
+        const isAtGoal = ended.every(({ held }, i) => isSameRange(held, goals[i] as LayerRange));
+        expect(isAtGoal || !isContiguous).to.equal(true);
       }),
     );
   });
 
-  it('goes straight to the goal where a chain is broken and there is no memory for both', () => {
+  it('goes straight to the goal if the chain is broken and there is no memory for both ranges', () => {
     const [first, , third, fourth] = createEngines([3, 6, 9, 12], 5) as [
       RangeEngine,
       RangeEngine,
@@ -74,7 +74,7 @@
     expect(planStep(third, moved, [first, second, fourth], MODEL)).to.equal(null);
   });
 
-  it('orders an empty engine at once, and nothing from one that is there', () => {
+  it('orders an empty engine to its goal at once, and nothing from one that holds its goal', () => {
     const [engine] = createEngines([4], 10) as [RangeEngine];
     expect(planStep({ ...engine, held: null }, { first: 0, end: 4 }, [], MODEL)).to.deep.equal({
       first: 0,
