--- a/packages/relay/src/RelayCatalogue.ts
+++ b/packages/relay/src/RelayCatalogue.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers that are registered. While the store is out, the last known stay; an entry that
- * lapsed meanwhile gets time to come back, since its server may be alive and only its heartbeats lost.
+ * The registered backend servers. During a store outage the last known entries are kept. An entry that lapsed
+ * in the outage is kept for a grace period afterwards: its server may be alive, and only its heartbeats were lost.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis, ServiceId, Unregister } from '@skylarksail/core/CoreTypes';
@@ -8,133 +8,137 @@
 import type { BackendEntry } from './RelayTypes.js';
 
 /**
- * Time after the store's return within which a living server's entry is back, as the platform says.
- * Without it, all servers would be taken for gone at once when an outage ends.
+ * Grace period after the store recovers, during which removed entries are kept. By the platform's specification, every
+ * live server is registered again within this time. Without a grace period, all servers would be removed at once when
+ * an outage ends.
  */
 export const LAPSED_ENTRY_GRACE: Millis = 2000;
 
 export interface Catalogue {
-  /** Takes an entry in, unless it tells of a life that ended before the one that is known. */
+  /** Stores an entry from the store, unless it belongs to an earlier incarnation than the known one. */
   put(entry: BackendEntry): void;
-  /** The server's entry is gone from the store. */
+  /** Removes a server whose entry is gone from the store: at once, or at the end of the grace period if it runs. */
   remove(server: string): void;
-  /** The server's entry cannot be read any longer, so it names no server: nothing is waited for. */
+  /** Removes a server at once, because its entry can no longer be parsed; no grace period applies. */
   drop(server: string): void;
-  /** What was seen of a server itself while the store is out. It stands until the store tells of it. */
+  /**
+   * Records the state of a server that this instance or a peer observed itself during a store outage. It overrides
+   * the server's entry until `put` gets a new one or the grace period ends.
+   */
   observe(entry: BackendEntry): void;
-  /** What was seen of servers, and stands now. */
+  /** The observations that override entries now. */
   listObserved(): readonly BackendEntry[];
-  /** The store answers again after it did not: what it removed meanwhile may come back. */
+  /** Starts the grace period when the store is reachable again after an outage. */
   noteStoreRegained(): void;
   list(): readonly BackendEntry[];
-  /** Other services are in use than before. */
+  /** Drops the cached list when `isServed` may return other results. */
   noteServicesChanged(): void;
-  /** The server in the life that the id names, or null if that is over. */
+  /** The server whose current incarnation has this id, or null if there is none. */
   get(id: EngineId): BackendEntry | null;
   registerListener(listener: () => void): Unregister;
 }
 
-/** Creates an empty catalogue. It tells of servers of those services only that `isServed` says are in use. */
+/** Creates an empty catalogue. `list` and `get` return only servers of services for which `isServed` is true. */
 export function createCatalogue(
   timers: TimerService,
   isServed: (service: ServiceId) => boolean = () => true,
 ): Catalogue {
   const entries = new Map<string, BackendEntry>();
-  const sightings = new Map<string, BackendEntry>();
+  const observations = new Map<string, BackendEntry>();
   const missing = new Map<string, Unregister>();
   const listeners = new Set<() => void>();
-  let returnUntil = -Infinity;
+  let graceEnd = -Infinity;
 
-  /** What `list` gave last, until something changes: it is asked for many times a second. */
-  let listed: readonly BackendEntry[] | null = null;
+  /** The last result of `list`, cached until something changes, because `list` runs many times a second. */
+  let cachedList: readonly BackendEntry[] | null = null;
 
-  function tell(): void {
-    listed = null;
+  function notifyListeners(): void {
+    cachedList = null;
     listeners.forEach((listener) => listener());
   }
 
-  function forget(server: string): void {
+  function deleteServer(server: string): void {
     missing.get(server)?.();
     missing.delete(server);
-    sightings.delete(server);
+    observations.delete(server);
     entries.delete(server);
   }
 
-  function miss(server: string): void {
+  function scheduleRemoval(server: string): void {
     if (!entries.has(server) || missing.has(server)) {
       return;
     }
-    const grace = returnUntil - timers.now();
+    const grace = graceEnd - timers.now();
     if (grace <= 0) {
-      forget(server);
+      deleteServer(server);
       return;
     }
-    const undo = timers.registerTimeout(grace, () => {
-      forget(server);
-      tell();
+    const cancel = timers.registerTimeout(grace, () => {
+      deleteServer(server);
+      notifyListeners();
     });
-    missing.set(server, undo);
+    missing.set(server, cancel);
   }
 
-  function getKnown(server: string): BackendEntry | null {
-    return sightings.get(server) ?? entries.get(server) ?? null;
+  function getLatest(server: string): BackendEntry | null {
+    return observations.get(server) ?? entries.get(server) ?? null;
   }
 
-  /** A late word of a life that is over would bring back the layers that ended with it. */
-  function isLate(entry: BackendEntry): boolean {
-    const known = getKnown(entry.server);
+  /** A delayed entry of an earlier incarnation would restore layers that the restarted server no longer holds. */
+  function isOutdated(entry: BackendEntry): boolean {
+    const known = getLatest(entry.server);
     return known !== null && isEarlierIncarnation(entry, known);
   }
 
-  /** By then every living server has written to the store again, and its entry says more than we saw. */
-  function forgetSightings(): void {
-    if (sightings.size > 0) {
-      sightings.clear();
-      tell();
+  /** Runs at the end of the grace period: every live server has a new entry by then, which supersedes observations. */
+  function clearObservations(): void {
+    if (observations.size > 0) {
+      observations.clear();
+      notifyListeners();
     }
   }
 
   return {
     put(entry) {
-      if (isLate(entry)) {
+      if (isOutdated(entry)) {
         return;
       }
-      forget(entry.server);
+      deleteServer(entry.server);
       entries.set(entry.server, entry);
-      tell();
+      notifyListeners();
     },
     remove(server) {
-      miss(server);
-      tell();
+      scheduleRemoval(server);
+      notifyListeners();
     },
     drop(server) {
-      forget(server);
-      tell();
+      deleteServer(server);
+      notifyListeners();
     },
     observe(entry) {
-      const known = getKnown(entry.server);
-      if (isLate(entry) || (known !== null && isSameEntry(known, entry))) {
+      const known = getLatest(entry.server);
+      if (isOutdated(entry) || (known !== null && isSameEntry(known, entry))) {
         return;
       }
-      sightings.set(entry.server, entry);
-      tell();
+      observations.set(entry.server, entry);
+      notifyListeners();
     },
-    listObserved: () => [...sightings.values()],
+    listObserved: () => [...observations.values()],
     noteStoreRegained() {
-      returnUntil = timers.now() + LAPSED_ENTRY_GRACE;
-      timers.registerTimeout(LAPSED_ENTRY_GRACE, forgetSightings);
+      graceEnd = timers.now() + LAPSED_ENTRY_GRACE;
+      timers.registerTimeout(LAPSED_ENTRY_GRACE, clearObservations);
     },
     list() {
-      listed ??= [...new Map([...entries, ...sightings]).values()].filter(({ service }) =>
+      cachedList ??= [...new Map([...entries, ...observations]).values()].filter(({ service }) =>
         isServed(service),
       );
-      return listed;
+      return cachedList;
     },
     noteServicesChanged() {
-      listed = null;
+      cachedList = null;
     },
     get(id) {
-      const known = getKnown(getServerName(id));
+      const known = getLatest(getServerName(id));
       return known?.id === id && isServed(known.service) ? known : null;
     },
     registerListener(listener) {
@@ -144,7 +148,7 @@
   };
 }
 
-/** Whether two entries of one server say the same of what changes while it lives. */
+/** Whether two entries of a server agree in the fields that change while it runs. */
 function isSameEntry(a: BackendEntry, b: BackendEntry): boolean {
   return (
     a.id === b.id &&
--- a/packages/relay/src/RelayCoverage.ts
+++ b/packages/relay/src/RelayCoverage.ts
@@ -1,6 +1,6 @@
 /**
- * Tells when layers of the own failure domain go without an engine, and when all are held again. Without such
- * a line a bad span of time can be told only from the requests that it cost.
+ * Reports when no engine of this instance's failure domain holds some of the layers, and when all are held again.
+ * Without such a log record, a coverage gap shows only in the requests that failed because of it.
  */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { DomainId, ServiceId } from '@skylarksail/core/CoreTypes';
@@ -8,12 +8,13 @@
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import type { Catalogue } from './RelayCatalogue.js';
 
-/** The layers of one service in a failure domain. */
+/** How the layers of a service are covered in a failure domain. */
 export interface LayerCoverage {
   readonly service: ServiceId;
   readonly domain: DomainId;
-  /** Layers that no engine holds that takes new work. */
+  /** Number of layers that are held by no engine that accepts new work. */
   readonly missing: number;
+  /** Number of engines that accept new work. */
   readonly engines: number;
 }
 
@@ -24,7 +25,7 @@
   readonly onChange: (coverage: LayerCoverage) => void;
 }
 
-/** The returned function looks at the catalogue as it is now, and tells of what has changed since. */
+/** The returned function calls `onChange` for each service whose number of missing layers has changed. */
 export function createCoverageCheck(options: RelayCoverageOptions): () => void {
   const { domain, catalogue, getTable, onChange } = options;
   const known = new Map<ServiceId, number>();
--- a/packages/relay/src/RelayDuty.ts
+++ b/packages/relay/src/RelayDuty.ts
@@ -1,4 +1,7 @@
-/** Decides which instance places the layers of a failure domain. */
+/**
+ * Decides whether this instance places the layers of a failure domain: as holder of the lease or, in a store outage,
+ * as fallback.
+ */
 import type { DomainId } from '@skylarksail/core/CoreTypes';
 import type { RelayLease } from './RelayLease.js';
 import type { RelayPeers } from './RelayPeers.js';
@@ -11,16 +14,16 @@
   readonly isLeaving: () => boolean;
 }
 
-/** Says whether this instance places a domain's layers now: as holder of the lease, or as its stand-in. */
+/** The returned function says whether this instance places the layers of a domain now. */
 export function createPlacementDuty(options: PlacementDutyOptions): (domain: DomainId) => boolean {
   const { self, lease, peers } = options;
 
   /**
-   * While nobody hears the store the last holder goes on or, if it does not answer its peers, the first of the
-   * domain's instances. Two that cannot hear each other may both act; an order that names another count of
-   * orders than the engine's is then refused.
+   * While no instance reaches the store, the last holder goes on placing. If it does not answer its peers, the domain's
+   * first responsive instance by id places instead. Two instances that cannot reach each other may both place; an
+   * engine then refuses an order whose order count differs from its own.
    */
-  function isStandIn(domain: DomainId): boolean {
+  function isFallbackPlacer(domain: DomainId): boolean {
     if (domain !== self.domain || options.isLeaving() || !peers.isIsolated()) {
       return false;
     }
@@ -30,9 +33,9 @@
       .map(({ id }) => id)
       .filter((id) => id === self.id || !peers.isUnresponsive(id))
       .sort();
-    const last = lease.getLastHolder(domain);
-    return (last !== null && ids.includes(last) ? last : ids[0]) === self.id;
+    const lastHolder = lease.getLastHolder(domain);
+    return (lastHolder !== null && ids.includes(lastHolder) ? lastHolder : ids[0]) === self.id;
   }
 
-  return (domain) => lease.holds(domain) || isStandIn(domain);
+  return (domain) => lease.holds(domain) || isFallbackPlacer(domain);
 }
--- a/packages/relay/src/RelayEngines.ts
+++ b/packages/relay/src/RelayEngines.ts
@@ -1,4 +1,4 @@
-/** Keeps routing told of the engines that are registered and of what they hold. */
+/** Reports the registered engines, the layers that they hold and their load to routing. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { DomainId, EngineId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
@@ -19,39 +19,42 @@
   readonly catalogue: Catalogue;
   readonly routing: DaemonRouting;
   readonly getTable: () => RouteTable | null;
-  /** Live instances of the own failure domain, this one included. */
+  /** Number of live instances in this instance's failure domain, including itself. */
   readonly countOwnInstances: () => number;
-  /** Work of the other instances of the own failure domain on an engine; null if it is not known. */
+  /** Work that other instances of this failure domain have on an engine; null if unknown. */
   readonly getOthersWork: (engine: EngineId) => PeerWork | null;
 }
 
-/** How often the work on engines is reckoned anew: as often as others' is heard of. */
+/** How often engine loads are recalculated: as often as other instances report their work. */
 const REFRESH_PERIOD: Millis = 600;
-/** Part of an engine's memory or slots from which on the work of others decides whether there is room. */
+/**
+ * Share of an engine's memory or slots in use from which the work of other instances decides whether the engine has
+ * room.
+ */
 const CROWDED = 0.6;
-/** Half of the time after which routing takes an engine that it is told nothing of for silent, and less. */
-const IDLE_PERIOD: Millis = 2000;
+/** Less than half of the time without reports after which routing treats an engine as silent. */
+const IDLE_REPORT_PERIOD: Millis = 2000;
 
-/** An engine's facts with what they were made of. */
-interface KnownFacts {
+/** An engine's facts, with the inputs from which they were derived. */
+interface CachedFacts {
   readonly entry: BackendEntry;
   readonly pipeline: PipelineFacts;
   readonly facts: EngineFacts | null;
 }
 
-interface FoundEngine {
+interface DescribedEngine {
   readonly entry: BackendEntry;
   readonly facts: EngineFacts;
 }
 
 export interface RelayEngines {
-  /** Takes in the catalogue and the configuration as they are now. */
+  /** Applies the current catalogue and configuration. */
   refresh(): void;
-  /** Takes in what the others have running on the own domain's engines. */
+  /** Applies the work that other instances have on the engines of this instance's domain. */
   refreshOwnLoads(): void;
-  /** Whether an engine of the own domain is near its limit, as far as is known. */
+  /** Whether any engine of this instance's domain is known to be near its limit. */
   isCrowded(): boolean;
-  /** What this instance has running, engine by engine. */
+  /** Lists the work of this instance by engine, without engines where it has none. */
   readOwnWork(): readonly EngineWork[];
   start(): Unregister;
 }
@@ -60,12 +63,12 @@
   const { domain, timers, catalogue, routing, getTable, countOwnInstances } = options;
 
   /**
-   * Facts as they were made last, while what they are made of is the same. New ones for engines that have not
-   * changed would have routing plan all domains anew each second.
+   * Facts by engine, reused while their inputs stay the same. New objects for unchanged engines would make routing
+   * plan all domains again every second.
    */
-  const known = new Map<EngineId, KnownFacts>();
-  /** When engines without work were last told of, and what their entries said then. */
-  const idleSince = new Map<EngineId, { readonly entry: BackendEntry; readonly at: Millis }>();
+  const known = new Map<EngineId, CachedFacts>();
+  /** When each engine without work was last reported, and its entry at that time. */
+  const idleReports = new Map<EngineId, { readonly entry: BackendEntry; readonly at: Millis }>();
 
   function getFacts(entry: BackendEntry, pipeline: PipelineFacts): EngineFacts | null {
     const before = known.get(entry.id);
@@ -77,15 +80,18 @@
     return facts;
   }
 
-  function forgetGone(): void {
+  function evictRemovedEngines(): void {
     const gone = [...known.keys()].filter((id) => catalogue.get(id) === null);
     gone.forEach((id) => {
       known.delete(id);
-      idleSince.delete(id);
+      idleReports.delete(id);
     });
   }
 
-  /** What others told of, or, where nobody did, as much for each of them as we have: callers spread over all. */
+  /**
+   * Adds the work that other instances report. Without reports, each other instance is assumed to have as much work as
+   * this one, because callers are spread over all instances.
+   */
   function countWork(entry: BackendEntry, instances: number): PeerWork {
     const own = getOwnWork(routing.getState(), entry.id);
     const others = options.getOthersWork(entry.id);
@@ -94,7 +100,11 @@
       : { calls: own.calls + others.calls, kvTokens: own.kvTokens + others.kvTokens };
   }
 
-  function expectWork(entry: BackendEntry, kvLayerTokens: number, instances: number): ExpectedWork {
+  function estimateWork(
+    entry: BackendEntry,
+    kvLayerTokens: number,
+    instances: number,
+  ): ExpectedWork {
     const { calls, kvTokens } = countWork(entry, instances);
     const layers = entry.layers ? entry.layers.end - entry.layers.first : 0;
     const used = kvTokens * layers;
@@ -119,7 +129,7 @@
       .map(({ engine, calls, kvTokens }) => ({ engine, calls, kvTokens }));
   }
 
-  function listFound(): readonly FoundEngine[] {
+  function listDescribedEngines(): readonly DescribedEngine[] {
     const table = getTable();
     return catalogue.list().flatMap((entry) => {
       const pipeline = table?.findService(entry.service)?.pipeline;
@@ -128,46 +138,49 @@
     });
   }
 
-  function setLoads(found: readonly FoundEngine[]): void {
+  function setLoads(engines: readonly DescribedEngine[]): void {
     const seenAt = timers.now();
     const instances = countOwnInstances();
-    const loads = found.flatMap((engine) => {
+    const loads = engines.flatMap((engine) => {
       const { entry, facts } = engine;
-      const work = expectWork(entry, facts.kvLayerTokens, instances);
-      return isNews(entry, work, seenAt) ? [{ load: createEngineLoad(entry, work), seenAt }] : [];
+      const work = estimateWork(entry, facts.kvLayerTokens, instances);
+      return shouldReport(entry, work, seenAt)
+        ? [{ load: createEngineLoad(entry, work), seenAt }]
+        : [];
     });
     routing.setEngineLoads(loads);
   }
 
-  /** An engine with no work that had none before is told of seldom: most are so, at most instances. */
-  function isNews(entry: BackendEntry, work: ExpectedWork, now: Millis): boolean {
-    const before = idleSince.get(entry.id);
+  /** Limits reports of engines that stay without work: at most instances, most engines are idle. */
+  function shouldReport(entry: BackendEntry, work: ExpectedWork, now: Millis): boolean {
+    const before = idleReports.get(entry.id);
     if (work.running > 0) {
-      idleSince.delete(entry.id);
+      idleReports.delete(entry.id);
       return true;
     }
-    if (before?.entry === entry && now - before.at < IDLE_PERIOD) {
+    if (before?.entry === entry && now - before.at < IDLE_REPORT_PERIOD) {
       return false;
     }
-    idleSince.set(entry.id, { entry, at: now });
+    idleReports.set(entry.id, { entry, at: now });
     return true;
   }
 
   function refresh(): void {
-    const found = listFound();
-    if (known.size > found.length) {
-      forgetGone();
+    const engines = listDescribedEngines();
+    if (known.size > engines.length) {
+      evictRemovedEngines();
     }
-    routing.setFacts(found.map(({ facts }) => facts));
-    setLoads(found);
-    found
+    routing.setFacts(engines.map(({ facts }) => facts));
+    setLoads(engines);
+    engines
       .filter(({ entry }) => entry.state === LifeState.Leaving)
       .forEach(({ entry }) => routing.setLeaving(entry.id));
   }
 
   return {
     refresh,
-    refreshOwnLoads: () => setLoads(listFound().filter(({ entry }) => entry.domain === domain)),
+    refreshOwnLoads: () =>
+      setLoads(listDescribedEngines().filter(({ entry }) => entry.domain === domain)),
     isCrowded,
     readOwnWork,
     start: () => timers.registerInterval(REFRESH_PERIOD, refresh),
--- a/packages/relay/src/RelayErrors.ts
+++ b/packages/relay/src/RelayErrors.ts
@@ -1,4 +1,3 @@
-/** Errors of the relay. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
 export const RelayError = SkylarkError.subclass('RelayError');
--- a/packages/relay/src/RelayFacts.ts
+++ b/packages/relay/src/RelayFacts.ts
@@ -1,4 +1,4 @@
-/** Turns registered engines and the configuration's figures into what routing and placement reckon with. */
+/** Derives the facts, loads and models that routing and placement use from registered engines and the configuration. */
 import type { EngineFacts, EngineLoad } from '@skylarksail/core/CoreEngine';
 import { EngineDuty } from '@skylarksail/core/CoreEngine';
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
@@ -8,20 +8,20 @@
 import type { RoutedModel } from '@skylarksail/routing/RoutingTypes';
 import type { BackendEntry } from './RelayTypes.js';
 
-/** The one version of weights that these deployments have. */
+/** Deployments of the relay have a single version of the weights. */
 export const ONLY_VERSION: VersionId = '1';
 
 const THOUSAND = 1000;
 
 /** Time of one full pass through one layer on an accelerator, in ms. */
-function getLayerPass(pipeline: PipelineFacts, accelerator: AcceleratorFacts): number {
+function getLayerPassTime(pipeline: PipelineFacts, accelerator: AcceleratorFacts): number {
   const context = (pipeline.usualPromptTokens + pipeline.usualAnswerTokens) / THOUSAND;
   const perRequest = pipeline.stepPerRequest + pipeline.stepPerThousandContext * context;
   const pass = pipeline.step + perRequest * pipeline.slots;
   return (pass * accelerator.stepFactor) / pipeline.layers;
 }
 
-/** Layers times tokens that fit beside the weights of `layers` layers. */
+/** Size of the KV cache, in layers times tokens, that fits in memory beside the weights of `layers` layers. */
 export function getKvLayerTokens(
   pipeline: PipelineFacts,
   accelerator: AcceleratorFacts,
@@ -31,7 +31,7 @@
   return Math.max(0, free / (pipeline.kvTokenBytes / pipeline.layers));
 }
 
-/** An engine's facts, or null if its kind of accelerator is not described. */
+/** Derives an engine's facts; null if the configuration does not describe its kind of accelerator. */
 export function createEngineFacts(
   entry: BackendEntry,
   pipeline: PipelineFacts,
@@ -40,12 +40,12 @@
   if (!accelerator) {
     return null;
   }
-  const held = entry.layers ? entry.layers.end - entry.layers.first : 0;
-  const perSecond = MILLIS_PER_SECOND / getLayerPass(pipeline, accelerator);
+  const heldLayers = entry.layers ? entry.layers.end - entry.layers.first : 0;
+  const perSecond = MILLIS_PER_SECOND / getLayerPassTime(pipeline, accelerator);
   return {
     id: entry.id,
     domain: entry.domain,
-    // Links within a domain are alike, so all of its engines count as one rack.
+    // Links within a domain are equivalent, so all of its engines count as one rack.
     rack: entry.domain,
     address: entry.address,
     accelerator: entry.accelerator ?? '',
@@ -53,19 +53,19 @@
     prefillLayerTokensPerSecond:
       (pipeline.promptTokensPerSecond * pipeline.layers) / accelerator.readFactor,
     weightBytes: accelerator.memoryBytes,
-    kvLayerTokens: getKvLayerTokens(pipeline, accelerator, held),
+    kvLayerTokens: getKvLayerTokens(pipeline, accelerator, heldLayers),
     maxBatch: pipeline.slots,
   };
 }
 
-/** Work that others are reckoned to have on an engine. */
+/** Estimated work of all instances on an engine. */
 export interface ExpectedWork {
   readonly running: number;
   /** Share of the KV cache in use, 0 to 1. */
   readonly kvUsed: number;
 }
 
-/** An engine's load as routing takes it. */
+/** Converts an engine's estimated work to the form that routing uses. */
 export function createEngineLoad(entry: BackendEntry, work: ExpectedWork): EngineLoad {
   return {
     engine: entry.id,
@@ -83,7 +83,7 @@
   return { model, version: ONLY_VERSION, adapters: [], layers, duty: EngineDuty.Mixed };
 }
 
-/** What routing needs of each service that is a pipeline. */
+/** Lists the model of each service that is a pipeline. */
 export function listModels({ config }: RouteTable): ReadonlyMap<string, RoutedModel> {
   return new Map(
     config.services.flatMap(({ id, pipeline }) =>
--- a/packages/relay/src/RelayGrants.ts
+++ b/packages/relay/src/RelayGrants.ts
@@ -1,17 +1,17 @@
 /**
- * Repeats where they are needed. Parted over all instances of a large fleet, the slack for repeats is a few for each,
- * at one that loses engines as at one with nothing to do. So a part of the slack lies in a pool of each failure
- * domain, out of which its granter lends to whoever asks.
+ * Grants retries to the instances that need them. Split over all instances of a large fleet, the fleet's slack for
+ * retries leaves only a few to each, whether an instance is losing engines or idle. So part of the slack is kept in a
+ * pool for each failure domain, from which the granter of that domain grants retries to any instance on request.
  *
- * A grant may be used for `GRANT_TIME`. What a window of time sees of repeats is then at most what instances hold for
- * good and what was granted in that window and `GRANT_TIME` before it, which is what a pool bounds.
+ * A grant expires after a fixed lifetime. So the retries in a time window are at most those that instances hold
+ * permanently plus those granted in that window or within one lifetime before it. The pool bounds the latter.
  */
 import { selectOwners } from '@skylarksail/core/CoreHash';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 import type { InstanceEntry } from './RelayTypes.js';
 
-/** Asks a peer to grant repeats at a service; gives how many it granted. */
+/** Requests retries at a service from a peer; resolves to the number granted. */
 export type AskGrant = (
   peer: InstanceEntry,
   service: string,
@@ -23,40 +23,43 @@
   readonly timers: TimerService;
   readonly self: InstanceEntry;
   readonly window: Millis;
-  /** Repeats at each service in the pool of one domain. */
+  /** Retries for each service in the pool of one domain. */
   readonly poolSize: number;
   readonly listInstances: () => readonly InstanceEntry[];
-  /** Whether this instance hears who is there. */
+  /** Whether the list of instances is current. */
   readonly isCurrent: () => boolean;
   readonly askGrant: AskGrant;
 }
 
 export interface RelayGrants {
-  /** Asks for repeats at a service; `done` hears whether any were granted. */
+  /** Requests retries at a service; `done` receives whether any were granted. */
   request(service: string, done: (isGranted: boolean) => void): void;
-  /** Repeats that were granted to this instance and may be used now. */
+  /** Number of retries granted to this instance that have not expired. */
   count(service: string): number;
-  /** Grants out of the own domain's pool; 0 if this instance is not its granter. */
+  /** Grants retries from the pool of this instance's domain; returns 0 if this instance is not the granter. */
   grant(service: string, wanted: number): number;
-  /** Notes who is there now; to be called a few times in a window. */
+  /** Updates whether this instance is the granter; must be called a few times in each window. */
   observe(): void;
 }
 
-/** A broken answer is moved within a second, or its caller leaves; what was not used by then is lent anew. */
+/**
+ * A broken answer resumes on another chain within a second, or its caller leaves. A retry that is not used by then can
+ * be granted again.
+ */
 export const GRANT_LIFETIME: Millis = 2000;
 /**
- * An instance that becomes the granter waits so long beyond a window, as it does not know what the one before it has
- * granted, nor when that one hears of its successor.
+ * Time that a new granter waits in addition to the window and the lifetime of a grant. It knows neither what its
+ * predecessor has granted nor when the predecessor learns of the change.
  */
-const SUCCESSION_TIME: Millis = 3000;
-/** Asked for together, since an engine that is lost breaks several answers of an instance. */
-const WANTED = 3;
-const ASK_TIMEOUT: Millis = 150;
-/** Granters that are asked, the own domain's first. */
-const MOST_ASKED = 3;
-/** After nobody granted anything, nobody is asked for so long: a broken answer waits half a second at a time. */
-const DENIED_PAUSE: Millis = 400;
-const KEY = 'retry-grants';
+const TAKEOVER_MARGIN: Millis = 3000;
+/** Retries per request: the loss of an engine breaks several answers of an instance. */
+const GRANT_BATCH = 3;
+const REQUEST_TIMEOUT: Millis = 150;
+/** Number of granters that a request tries, starting with the one of this instance's domain. */
+const MAX_GRANTERS = 3;
+/** Pause after all granters denied a request: a broken answer waits for half a second at a time. */
+const DENIED_BACKOFF: Millis = 400;
+const GRANTER_KEY = 'retry-grants';
 
 interface Grant {
   readonly count: number;
@@ -65,13 +68,13 @@
 
 export function createRelayGrants(options: RelayGrantsOptions): RelayGrants {
   const { timers, self, window, poolSize } = options;
-  const lent = new Map<string, readonly Grant[]>();
+  const issuedGrants = new Map<string, readonly Grant[]>();
   const held = new Map<string, readonly Grant[]>();
   const waiting = new Map<string, ((isGranted: boolean) => void)[]>();
   const pausedUntil = new Map<string, Millis>();
   let granterSince: Millis | null = null;
 
-  /** Each domain's granter, the own domain's first. */
+  /** Lists the granter of each domain, starting with this instance's domain. */
   function listGranters(): readonly InstanceEntry[] {
     const instances = options.listInstances();
     const domains = [...new Set([self.domain, ...instances.map(({ domain }) => domain)])];
@@ -84,43 +87,46 @@
     granterSince = isGranter ? (granterSince ?? timers.now()) : null;
   }
 
-  function mayGrant(): boolean {
+  function canGrant(): boolean {
     observe();
     const since = granterSince ?? Infinity;
-    return timers.now() - since >= window + GRANT_LIFETIME + SUCCESSION_TIME;
+    return timers.now() - since >= window + GRANT_LIFETIME + TAKEOVER_MARGIN;
   }
 
   function grant(service: string, wanted: number): number {
-    if (!mayGrant()) {
+    if (!canGrant()) {
       return 0;
     }
-    const recent = selectSince(lent.get(service), timers.now() - window - GRANT_LIFETIME);
+    const recent = selectSince(issuedGrants.get(service), timers.now() - window - GRANT_LIFETIME);
     const granted = Math.max(0, Math.min(wanted, Math.floor(poolSize - sumGrants(recent))));
-    lent.set(service, granted > 0 ? [...recent, { count: granted, at: timers.now() }] : recent);
+    issuedGrants.set(
+      service,
+      granted > 0 ? [...recent, { count: granted, at: timers.now() }] : recent,
+    );
     return granted;
   }
 
-  function ask(granter: InstanceEntry, service: string): Promise<number> {
+  function requestFrom(granter: InstanceEntry, service: string): Promise<number> {
     return granter.id === self.id
-      ? Promise.resolve(grant(service, WANTED))
-      : options.askGrant(granter, service, WANTED, ASK_TIMEOUT);
+      ? Promise.resolve(grant(service, GRANT_BATCH))
+      : options.askGrant(granter, service, GRANT_BATCH, REQUEST_TIMEOUT);
   }
 
-  async function askAll(service: string): Promise<boolean> {
-    // A grant is counted from before it was asked for: the granter counts it from later on.
+  async function requestFromGranters(service: string): Promise<boolean> {
+    // The lifetime starts before the request is sent, so the grant expires here before it expires at the granter.
     const at = timers.now();
-    for (const granter of listGranters().slice(0, MOST_ASKED)) {
-      const count = await ask(granter, service);
+    for (const granter of listGranters().slice(0, MAX_GRANTERS)) {
+      const count = await requestFrom(granter, service);
       if (count > 0) {
-        held.set(service, [...selectHeld(service), { count, at }]);
+        held.set(service, [...selectUsable(service), { count, at }]);
         return true;
       }
     }
-    pausedUntil.set(service, timers.now() + DENIED_PAUSE);
+    pausedUntil.set(service, timers.now() + DENIED_BACKOFF);
     return false;
   }
 
-  function selectHeld(service: string): readonly Grant[] {
+  function selectUsable(service: string): readonly Grant[] {
     return selectSince(held.get(service), timers.now() - GRANT_LIFETIME);
   }
 
@@ -135,14 +141,14 @@
         others.push(done);
         return;
       }
-      const heard = [done];
-      waiting.set(service, heard);
-      void askAll(service).then((isGranted) => {
+      const callbacks = [done];
+      waiting.set(service, callbacks);
+      void requestFromGranters(service).then((isGranted) => {
         waiting.delete(service);
-        heard.forEach((tell) => tell(isGranted));
+        callbacks.forEach((callback) => callback(isGranted));
       });
     },
-    count: (service) => sumGrants(selectHeld(service)),
+    count: (service) => sumGrants(selectUsable(service)),
     grant,
     observe,
   };
@@ -154,7 +160,7 @@
 ): InstanceEntry | undefined {
   const own = instances.filter((instance) => instance.domain === domain && instance.address);
   const [id] = selectOwners(
-    KEY,
+    GRANTER_KEY,
     own.map((instance) => instance.id),
     1,
   );
--- a/packages/relay/src/RelayHealth.ts
+++ b/packages/relay/src/RelayHealth.ts
@@ -1,8 +1,8 @@
 /**
- * Asks the own domain's engines about their health when calls fail at them or stay silent. An engine's entry
- * says nothing of its end until it lapses, five seconds with the time that a lost engine is waited for; while
- * the store is out it says nothing at all, and a domain that lost an engine had no chain until the store was
- * back. What is seen here stands in for the entry until the store tells of it.
+ * Probes the health of engines in this instance's domain when calls to them fail or stall. The entry of a dead engine
+ * stays in the store until it expires, which takes five seconds together with the grace period for a lost engine.
+ * During a store outage entries do not change at all, and a domain that lost an engine would have no chain until the
+ * store is back. The results of probes replace the entry until the store reports a change of it.
  */
 import { createActiveInterval } from '@skylarksail/core/CoreActivity';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -19,10 +19,11 @@
   readonly domain: DomainId;
   readonly catalogue: Catalogue;
   readonly port: BackendProbePort;
-  /** Whether neither the store nor a peer that hears it can be reached. */
+  /** Whether neither the store nor a peer that receives its updates can be reached. */
   readonly isIsolated: () => boolean;
-  /** An engine answered in the life that calls failed at: it did not crash under them. */
+  /** Called when the incarnation at which calls failed answers a probe: the calls did not crash it. */
   readonly onHealthy: (engine: EngineId) => void;
+  /** Called when a probe finds an engine leaving or gets no answer. */
   readonly onUnhealthy: (seen: {
     readonly engine: EngineId;
     readonly health: HealthAnswer['kind'];
@@ -31,127 +32,139 @@
 }
 
 export interface RelayHealth {
-  /** The same calls; those that fail or stay silent put their engines under suspicion. */
+  /** Wraps `open` so that engines of calls that fail or stall become suspects. */
   watchCalls(open: OpenEngineCall): OpenEngineCall;
-  /** Engines are silent under a call that goes on. */
+  /** Reports that engines do not respond in a call that has not ended. */
   noteSilent(engines: readonly EngineId[]): void;
-  /** Engines that calls failed at, and that did not answer well when they were asked then. */
+  /** Lists suspects whose last probe failed. */
   listLost(): readonly EngineId[];
   stop(): void;
 }
 
-/** An engine that calls failed at. */
+/** An engine whose calls failed or stalled. */
 interface Suspect {
-  /** Bad answers in a row. */
+  /** Number of consecutive failed probes. */
   readonly misses: number;
-  /** Not asked again before. */
+  /** Earliest time of the next probe. */
   readonly dueAt: Millis;
 }
 
 const TICK: Millis = 300;
 const PROBE_TIMEOUT: Millis = 250;
-/** An answer that is this late was held up by a pause of our own, and says nothing of the engine. */
-const LATE_ANSWER: Millis = 100;
-/** Bad answers in a row after which an engine is taken to leave: one may be lost. */
-const MISSES_TO_LEAVE = 2;
-/** The same without any answer: a link that loses packets holds one up as well. */
-const MISSES_TO_END = 3;
-/** An engine that has answered well, or has been found out, is not asked again at once: questions cost. */
-const ASK_PAUSE: Millis = 1000;
-/** A call that is given up after so long a silence says that one of its engines may be dead. */
-const SILENCE: Millis = 300;
+/** A probe that ends this long after its timeout was delayed by a pause of this process; its result is ignored. */
+const LATE_ANSWER_MARGIN: Millis = 100;
+/**
+ * Consecutive failed probes before an engine that reports that it is leaving is treated as leaving: a single failure
+ * may be a lost answer.
+ */
+const LEAVING_THRESHOLD = 2;
+/** The same for an engine that does not answer; higher because a link with packet loss also delays answers. */
+const SILENT_THRESHOLD = 3;
+/** Pause before the next probe of an engine that is healthy or known to be leaving; limits the cost of probes. */
+const PROBE_PAUSE: Millis = 1000;
+/** If a call is cancelled after a silence of this length, one of its engines may be dead. */
+const SILENCE_THRESHOLD: Millis = 300;
 
 export function createRelayHealth(options: RelayHealthOptions): RelayHealth {
-  const { timers, domain, catalogue, port, isIsolated: isBlind } = options;
+  const { timers, domain, catalogue, port, isIsolated } = options;
   const suspects = new Map<EngineId, Suspect>();
-  /** Until when engines that answered well are not suspected again. */
+  /** Time until which an engine that answered a probe is not suspected again. */
   const cleared = new Map<EngineId, Millis>();
-  const asking = new Set<EngineId>();
-  /** Whether an engine was found out while nobody hears the store: then layers move untold. */
-  let isMoving = false;
-  const ticking = createActiveInterval(timers, TICK, () => {
+  const probing = new Set<EngineId>();
+  /**
+   * Whether an engine was found to be leaving while the store is unreachable. Other engines then take over its layers
+   * without updates from the store.
+   */
+  let isTrackingLayers = false;
+  const ticker = createActiveInterval(timers, TICK, () => {
     tick();
-    return suspects.size > 0 || isMoving;
+    return suspects.size > 0 || isTrackingLayers;
   });
 
-  function suspect(id: EngineId): void {
+  function addSuspect(id: EngineId): void {
     const now = timers.now();
     const entry = catalogue.get(id);
     const isOwn = entry?.domain === domain && entry.accelerator !== null;
     if (isOwn && !suspects.has(id) && (cleared.get(id) ?? -Infinity) <= now) {
       suspects.set(id, { misses: 0, dueAt: now });
-      ticking.start();
+      ticker.start();
     }
   }
 
-  async function ask(entry: BackendEntry, question: () => Promise<void>): Promise<void> {
-    if (!asking.has(entry.id)) {
-      asking.add(entry.id);
-      await question().finally(() => asking.delete(entry.id));
+  async function probeOnce(entry: BackendEntry, probe: () => Promise<void>): Promise<void> {
+    if (!probing.has(entry.id)) {
+      probing.add(entry.id);
+      await probe().finally(() => probing.delete(entry.id));
     }
   }
 
-  async function askHealth(entry: BackendEntry): Promise<void> {
-    const askedAt = timers.now();
+  async function probeHealth(entry: BackendEntry): Promise<void> {
+    const sentAt = timers.now();
     const health = await port.readHealth(entry, PROBE_TIMEOUT);
     const now = timers.now();
-    if (now - askedAt > PROBE_TIMEOUT + LATE_ANSWER || catalogue.get(entry.id) === null) {
+    if (now - sentAt > PROBE_TIMEOUT + LATE_ANSWER_MARGIN || catalogue.get(entry.id) === null) {
       return;
     }
     if (health.kind === 'well') {
       suspects.delete(entry.id);
-      cleared.set(entry.id, now + ASK_PAUSE);
-      takeWell(entry, health.id);
+      cleared.set(entry.id, now + PROBE_PAUSE);
+      applyHealthy(entry, health.id);
       return;
     }
     const misses = (suspects.get(entry.id)?.misses ?? 0) + 1;
-    const isFound = misses >= (health.kind === 'leaving' ? MISSES_TO_LEAVE : MISSES_TO_END);
-    suspects.set(entry.id, { misses, dueAt: isFound ? now + ASK_PAUSE : now });
+    const isConfirmed =
+      misses >= (health.kind === 'leaving' ? LEAVING_THRESHOLD : SILENT_THRESHOLD);
+    suspects.set(entry.id, { misses, dueAt: isConfirmed ? now + PROBE_PAUSE : now });
     options.onUnhealthy({ engine: entry.id, health: health.kind, misses });
-    if (isFound) {
-      takeLeaving(entry);
+    if (isConfirmed) {
+      markLeaving(entry);
     }
   }
 
-  function takeWell(entry: BackendEntry, id: EngineId): void {
+  function applyHealthy(entry: BackendEntry, id: EngineId): void {
     if (id === entry.server) {
       options.onHealthy(entry.id);
-      // Its entry may have told since that it leaves or holds other layers: the answer is older than that.
+      // If the entry changed meanwhile (the engine leaves or holds other layers), it is newer than the answer.
       if (catalogue.get(entry.id) === entry) {
         catalogue.observe({ ...entry, state: LifeState.Live });
       }
       return;
     }
-    // Another incarnation answered: the one that was registered has ended, and this one holds nothing.
-    takeLeaving(entry);
-    if (isBlind() && catalogue.get(id) === null) {
-      const life = { server: id, born: null };
-      const fresh = { ...entry, ...life, id: createIncarnationId(life), layers: null };
-      catalogue.observe({ ...fresh, state: LifeState.Live });
+    // Another incarnation answered: the registered one has ended, and the new one holds no layers.
+    markLeaving(entry);
+    if (isIsolated() && catalogue.get(id) === null) {
+      const incarnation = { server: id, born: null };
+      const replacement = {
+        ...entry,
+        ...incarnation,
+        id: createIncarnationId(incarnation),
+        layers: null,
+      };
+      catalogue.observe({ ...replacement, state: LifeState.Live });
     }
   }
 
-  function takeLeaving(entry: BackendEntry): void {
-    isMoving = isBlind();
+  function markLeaving(entry: BackendEntry): void {
+    isTrackingLayers = isIsolated();
     catalogue.observe({ ...entry, state: LifeState.Leaving });
-    ticking.start();
+    ticker.start();
   }
 
-  async function askLayers(entry: BackendEntry): Promise<void> {
+  async function probeLayers(entry: BackendEntry): Promise<void> {
     const status = await port.readStatus(entry, PROBE_TIMEOUT);
-    if (status !== null && isBlind()) {
+    if (status !== null && isIsolated()) {
       const latest = catalogue.get(entry.id) ?? entry;
-      const life = { server: entry.server, born: status.born ?? latest.born };
+      const incarnation = { server: entry.server, born: status.born ?? latest.born };
       catalogue.observe({
         ...latest,
-        ...life,
-        id: createIncarnationId(life),
+        ...incarnation,
+        id: createIncarnationId(incarnation),
         layers: status.layers,
       });
     }
   }
 
-  function forgetGone(): void {
+  function evictRemovedEngines(): void {
     for (const table of [suspects, cleared]) {
       [...table.keys()]
         .filter((id) => catalogue.get(id) === null)
@@ -161,57 +174,57 @@
 
   function tick(): void {
     const now = timers.now();
-    forgetGone();
-    isMoving = isMoving && isBlind();
+    evictRemovedEngines();
+    isTrackingLayers = isTrackingLayers && isIsolated();
     for (const entry of catalogue.list()) {
       const suspected = suspects.get(entry.id);
       if (suspected) {
         if (suspected.dueAt <= now) {
-          void ask(entry, () => askHealth(entry));
+          void probeOnce(entry, () => probeHealth(entry));
         }
-      } else if (isMoving && entry.domain === domain && entry.accelerator !== null) {
-        void ask(entry, () => askLayers(entry));
+      } else if (isTrackingLayers && entry.domain === domain && entry.accelerator !== null) {
+        void probeOnce(entry, () => probeLayers(entry));
       }
     }
   }
 
   return {
     watchCalls: (open) => (call, listener) => {
-      let signAt = timers.now();
-      let isOver = false;
-      const note = (): void => {
-        signAt = timers.now();
+      let lastSignAt = timers.now();
+      let hasEnded = false;
+      const noteActivity = (): void => {
+        lastSignAt = timers.now();
       };
       const cancel = open(call, {
         onAcknowledged(acknowledgement) {
-          note();
+          noteActivity();
           listener.onAcknowledged(acknowledgement);
         },
         onToken(index, token) {
-          note();
+          noteActivity();
           listener.onToken(index, token);
         },
         onEnd(reason, tokenCount) {
-          isOver = true;
+          hasEnded = true;
           listener.onEnd(reason, tokenCount);
         },
         onFailure(failure) {
-          isOver = true;
+          hasEnded = true;
           if (failure.engine !== null) {
-            suspect(failure.engine);
+            addSuspect(failure.engine);
           }
           listener.onFailure(failure);
         },
       });
       return () => {
-        if (!isOver && timers.now() - signAt >= SILENCE) {
-          call.chain.stages.forEach(({ engine }) => suspect(engine));
+        if (!hasEnded && timers.now() - lastSignAt >= SILENCE_THRESHOLD) {
+          call.chain.stages.forEach(({ engine }) => addSuspect(engine));
         }
         cancel();
       };
     },
-    noteSilent: (engines) => engines.forEach(suspect),
+    noteSilent: (engines) => engines.forEach(addSuspect),
     listLost: () => [...suspects].filter(([, { misses }]) => misses > 0).map(([id]) => id),
-    stop: ticking.stop,
+    stop: ticker.stop,
   };
 }
--- a/packages/relay/src/RelayIncarnations.ts
+++ b/packages/relay/src/RelayIncarnations.ts
@@ -1,27 +1,27 @@
 /**
- * Tells the lives of a backend server apart. A server may start again under the name that it had; it then holds
- * nothing and counts its orders anew. Whatever was believed of the earlier life would send requests to layers
- * that are not there, so all that is remembered of a server hangs on an id that names its start as well.
+ * Distinguishes the incarnations of a backend server. A server can restart under the same name; it then holds no layers
+ * and counts its orders from zero. State kept from the earlier incarnation would route requests to layers that are
+ * gone, so all state about a server is keyed by an id that includes its start time.
  */
 import type { EngineId } from '@skylarksail/core/CoreTypes';
 import type { BackendEntry } from './RelayTypes.js';
 
-/** What tells two lives apart. */
+/** The fields that identify an incarnation. */
 export type ServerIncarnation = Pick<BackendEntry, 'server' | 'born'>;
 
 const SEPARATOR = '@';
 
-/** The id of one life; the name alone where the server does not tell its start. */
+/** Creates the id of an incarnation: only the name if the server does not report its start time. */
 export function createIncarnationId({ server, born }: ServerIncarnation): EngineId {
   return born === null ? server : `${server}${SEPARATOR}${born}`;
 }
 
-/** The name under which the server of an id is registered. */
+/** Returns the name under which the server with this id is registered. */
 export function getServerName(id: EngineId): string {
   return id.split(SEPARATOR, 1)[0] ?? id;
 }
 
-/** Whether `a` tells of a life that had ended when that of `b` began. Lives that tell no start are not ordered. */
+/** Whether `a` and `b` are incarnations of one server and `a` started earlier; false if a start time is unknown. */
 export function isEarlierIncarnation(a: ServerIncarnation, b: ServerIncarnation): boolean {
   return a.server === b.server && a.born !== null && b.born !== null && a.born < b.born;
 }
--- a/packages/relay/src/RelayIntake.ts
+++ b/packages/relay/src/RelayIntake.ts
@@ -1,6 +1,6 @@
 /**
- * Takes callers' requests: finds route, team and service, hands the work to the router, and turns what
- * the router says of it into an answer.
+ * Accepts callers' requests: finds the route, team and service, submits the request to the router, and translates the
+ * router's events into an answer.
  */
 import { Priority, RunState } from '@skylarksail/core/CoreConstants';
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
@@ -23,9 +23,9 @@
   readonly random: Random;
   readonly router: RequestRouter;
   readonly getTable: () => RouteTable | null;
-  /** Time since this instance last knew all that the store held. */
+  /** Time since this instance last knew the whole content of the store. */
   readonly getStaleness: () => Millis;
-  /** Time after its acknowledgement in which a change is to be in force everywhere. */
+  /** Time within which a change must be in force on all instances after its acknowledgement. */
   readonly changeTime: Millis;
   readonly confirmCurrent: ConfirmCurrent;
   readonly onDecision: (decision: {
@@ -36,11 +36,11 @@
 }
 
 export interface RelayIntake {
-  /** Takes a request; the handle is for a caller that leaves. */
+  /** Accepts a request; the handle cancels it when the caller disconnects. */
   submit(call: RelayCall, listener: RelayListener): RequestHandle;
 }
 
-/** What was found out about a call before it goes to the router. */
+/** A call with its route, team and service, before it is submitted to the router. */
 interface RoutedCall {
   readonly call: RelayCall;
   readonly route: Route;
@@ -50,7 +50,7 @@
   readonly deadline: Millis;
 }
 
-/** By what configuration a call was refused: a 404 or 401 may mean that it is behind. */
+/** The configuration on which a refusal is based: a 404 or 401 may be due to a stale one. */
 interface RefusalBasis {
   readonly version: number | null;
   readonly newsAge: Millis;
@@ -59,31 +59,31 @@
 const Status = { Unauthorized: 401, NotFound: 404 } as const;
 /** Callers without a key belong to no team. */
 const NO_TEAM: TeamId = '';
-/** Time left to answer within the caller's own deadline, so that the answer still reaches it. */
-const ANSWER_TIME: Millis = 20;
-/** When to come back while no configuration is known: it comes within a second or two of a start. */
+/** Time reserved before the caller's deadline so that the answer still reaches the caller. */
+const ANSWER_MARGIN: Millis = 20;
+/** Retry delay while no configuration is known: it arrives within a second or two after a start. */
 const NO_CONFIG_RETRY: Millis = 500;
 const DEFAULT_RETRY: Millis = 500;
-/** The age of news may leave out so much: an answer of the store that stood still before its first byte. */
-const NEWS_AGE_ERROR: Millis = 700;
-/** An instance that is behind mostly catches up within a second, and others are not behind. */
-const BEHIND_RETRY: Millis = 500;
+/** Staleness can be understated by this much: the delay of a store answer that stalled before its first byte. */
+const STALENESS_ERROR: Millis = 700;
+/** Retry delay of a stale instance: it usually catches up within a second, and other instances are current. */
+const STALE_RETRY: Millis = 500;
 /**
- * A lost chain is mended within some five seconds, and a caller may come back once at most. So a request
- * waits here for nearly as long as its caller bears silence; then it is refused, and told to come back
- * when the chain is most likely whole, with as much patience again.
+ * A lost chain is repaired within about five seconds, and a caller retries at most once. So a request waits here for
+ * almost all of its caller's patience. Then it is refused with a retry delay after which the chain is most likely
+ * complete, and the retry has the same patience again.
  */
-const MOST_PATIENCE: Millis = 5000;
+const MAX_PATIENCE: Millis = 5000;
 const PATIENCE_SHARE = 0.3;
-/** Part of the caller's patience: it is told to come back before it has left for good. */
+/** Share of the caller's patience: the refusal must arrive before the caller leaves for good. */
 const CALLER_PATIENCE_SHARE = 0.85;
 const CHAIN_RETRY: Millis = 4000;
-/** An idempotent call goes to another server after so many times the time that is on time. */
-const ATTEMPT_GOALS = 1;
+/** An idempotent call is sent to another server after this many times the route's goal for the first answer. */
+const ATTEMPT_TIMEOUT_FACTOR = 1;
 const DRAIN_RETRY: Millis = 50;
-/** A request that crashes engines is not worth a resend soon. */
+/** Retry delay of a request that crashes engines: it must not be retried soon. */
 const POISON_RETRY: Millis = 30_000;
-/** Ranks of routes, 0 first, to our priorities. */
+/** Priorities by the rank of a route or team; rank 0 is the most urgent. */
 const PRIORITIES: readonly PriorityName[] = [
   Priority.Urgent,
   Priority.High,
@@ -94,24 +94,16 @@
 const NO_HANDLE: RequestHandle = { cancel: () => undefined };
 
 export function createRelayIntake(options: RelayIntakeOptions): RelayIntake {
-  const {
-    timers,
-    random,
-    router,
-    getTable,
-    getStaleness: getNewsAge,
-    confirmCurrent: confirmNews,
-    onDecision,
-  } = options;
-  const longestNewsAge = Math.max(0, options.changeTime - NEWS_AGE_ERROR);
+  const { timers, random, router, getTable, getStaleness, confirmCurrent, onDecision } = options;
+  const maxStaleness = Math.max(0, options.changeTime - STALENESS_ERROR);
 
   function refuse(
     call: RelayCall,
     listener: RelayListener,
     refusal: RelayRefusal,
-    judgedBy: Partial<RefusalBasis> = {},
+    basis: Partial<RefusalBasis> = {},
   ): RequestHandle {
-    onDecision({ request: call.id, decision: 'refused', ...refusal, ...judgedBy });
+    onDecision({ request: call.id, decision: 'refused', ...refusal, ...basis });
     listener.onRefused(refusal);
     return NO_HANDLE;
   }
@@ -121,7 +113,7 @@
     if (!('status' in routed)) {
       return submitRouted(routed, listener);
     }
-    return isUnknown(routed) && isBehind()
+    return isUnknown(routed) && isStale()
       ? confirmUnknown(call, listener)
       : refuseUnrouted(call, listener, routed);
   }
@@ -133,35 +125,35 @@
   ): RequestHandle {
     return refuse(call, listener, refusal, {
       version: getTable()?.config.version ?? null,
-      newsAge: Math.round(getNewsAge()),
+      newsAge: Math.round(getStaleness()),
     });
   }
 
-  /** Whether a change that is to be in force by now may be missing here. */
-  function isBehind(): boolean {
-    return getNewsAge() > longestNewsAge;
+  /** Whether this instance may lack a change that must already be in force. */
+  function isStale(): boolean {
+    return getStaleness() > maxStaleness;
   }
 
-  /** What is not known here may be in the store already: it is asked first. */
+  /** Confirms with the store before refusing an unknown route or key, because the store may already have it. */
   function confirmUnknown(call: RelayCall, listener: RelayListener): RequestHandle {
-    const askedAt = timers.now();
+    const startedAt = timers.now();
     let handle: RequestHandle | null = null;
-    let hasLeft = false;
-    confirmNews(() => {
-      if (hasLeft) {
+    let isCancelled = false;
+    confirmCurrent(() => {
+      if (isCancelled) {
         return;
       }
-      const waited = timers.now() - askedAt;
+      const waited = timers.now() - startedAt;
       const timeLeft = call.timeLeft === null ? null : Math.max(0, call.timeLeft - waited);
       const routed = findRoute({ ...call, timeLeft });
       handle =
         'status' in routed
-          ? refuseUnrouted(call, listener, isBehind() ? softenUnknown(routed) : routed)
+          ? refuseUnrouted(call, listener, isStale() ? toRetryable(routed) : routed)
           : submitRouted(routed, listener);
     });
     return {
       cancel() {
-        hasLeft = true;
+        isCancelled = true;
         handle?.cancel();
       },
     };
@@ -207,7 +199,7 @@
       team: team?.id ?? NO_TEAM,
       priority: PRIORITIES[team?.priority ?? route.priority] ?? Priority.Low,
       service,
-      deadline: timers.now() + Math.max(0, patience - ANSWER_TIME),
+      deadline: timers.now() + Math.max(0, patience - ANSWER_MARGIN),
     };
   }
 
@@ -232,7 +224,7 @@
       idempotent: route.kind === RouteKind.Safe || route.isResumable,
       maxAttempts: route.maxAttempts,
       patience: Math.min(
-        MOST_PATIENCE,
+        MAX_PATIENCE,
         PATIENCE_SHARE * (deadline - timers.now()),
         CALLER_PATIENCE_SHARE * (route.callerPatience ?? Infinity),
       ),
@@ -242,10 +234,10 @@
         : {}),
     };
     const times = createEventTimes(timers.now());
-    let hasBegun = false;
+    let hasStarted = false;
     return router.submit(spec, {
       onStart: (head) => {
-        hasBegun = true;
+        hasStarted = true;
         listener.onHead(head ?? { status: 200, headers: {} });
       },
       onToken: (_index, event) => {
@@ -257,7 +249,7 @@
         listener.onEnd();
       },
       onError: (problem) => {
-        if (hasBegun) {
+        if (hasStarted) {
           onDecision({
             request: call.id,
             decision: 'broken-off',
@@ -289,7 +281,7 @@
       idempotencyKey: null,
       idempotent: route.kind === RouteKind.Safe,
       maxAttempts: route.maxAttempts,
-      attemptTimeout: ATTEMPT_GOALS * route.firstAnswerGoal,
+      attemptTimeout: ATTEMPT_TIMEOUT_FACTOR * route.firstAnswerGoal,
     };
     return router.submitService(spec, {
       onAnswer: (answer) => listener.onAnswer(answer),
@@ -305,16 +297,16 @@
 }
 
 /**
- * What this instance does not know may be new to it alone. A caller gives up after 404 or 401, and after 503 it comes
- * back, most likely at another instance.
+ * Replaces a 404 or 401 with a 503, because other instances may already know the route or key. A caller gives up after
+ * a 404 or 401 but retries after a 503, most likely at another instance.
  */
-function softenUnknown(refusal: RelayRefusal): RelayRefusal {
+function toRetryable(refusal: RelayRefusal): RelayRefusal {
   return isUnknown(refusal)
-    ? { status: 503, retryAfter: BEHIND_RETRY, reason: `${refusal.reason}, news is old` }
+    ? { status: 503, retryAfter: STALE_RETRY, reason: `${refusal.reason}, news is old` }
     : refusal;
 }
 
-/** How an answer's events came, so that a late one can be told from the log. */
+/** Timing of an answer's events, for the log to show late answers. */
 interface EventTimes {
   note(now: Millis): void;
   read(route: Pick<Route, 'firstAnswerGoal' | 'pauseGoal'>): EventReport;
@@ -324,7 +316,7 @@
   readonly events: number;
   readonly firstMs: Millis;
   readonly longestPauseMs: Millis;
-  /** Which of the route's goals was missed first; left out if both were kept. */
+  /** The first of the route's goals that was missed; absent if both were met. */
   readonly lateBy?: 'first' | 'pause';
 }
 
@@ -356,7 +348,7 @@
   };
 }
 
-/** A status that promises no more than is known: 503 only of what has not run and never will. */
+/** Chooses a status that claims no more than is known: 503 only if the request has not run and never will. */
 function toRefusal(problem: RequestProblem): RelayRefusal {
   const reason = `${problem.kind} ${problem.run}`;
   if (problem.run === RunState.NotRun) {
--- a/packages/relay/src/RelayLease.ts
+++ b/packages/relay/src/RelayLease.ts
@@ -1,7 +1,7 @@
 /**
- * An instance's own entry in the store and the duties that it holds there, each under a lease: if the instance
- * dies, they go. Whoever acts under a duty asks `holds` just before, which says no well before the lease could
- * have lapsed, also to an instance that was paused.
+ * Registers this instance in the store and claims duties there. The entry and the duties are bound to leases, so the
+ * store removes them after the instance dies. Callers check `holds` immediately before they act under a duty: it
+ * returns false well before the lease can lapse, also after a pause of the process.
  */
 import { selectOwners } from '@skylarksail/core/CoreHash';
 import type { Random } from '@skylarksail/core/CoreRandom';
@@ -19,63 +19,67 @@
   readonly self: InstanceEntry;
   /** Shortest lease that the store grants. */
   readonly minLeaseTime: Millis;
-  /** Failure domains whose placement is a duty. */
+  /** Failure domains that need an instance to place their layers. */
   readonly listDomains: () => readonly DomainId[];
   readonly onError: (what: string) => void;
 }
 
 export interface RelayLease {
-  /** Takes in a change of one of our own keys. */
+  /** Applies a change of a key that instances write to the store. */
   applyEvent(event: StoreEvent): void;
-  /** Whether this instance may act on a domain's placement now. */
+  /** Whether this instance holds a domain's placement duty and may act on it now. */
   holds(domain: DomainId): boolean;
-  /** Who held a domain's placement when the store last told of it; null if nobody. */
+  /** The holder of a domain's placement duty by the last known state of the store; null if there is none. */
   getLastHolder(domain: DomainId): InstanceId | null;
-  /** All that are registered, and this one in any case. The same list until something changes. */
+  /** All registered instances, always including this one. The same array is returned until something changes. */
   listInstances(): readonly InstanceEntry[];
   start(): void;
-  /** Ends the leases, by which duties become free at once. */
+  /** Revokes the leases, which frees the duties at once. */
   stop(): void;
 }
 
-/** Everything that the relay itself keeps in the store begins so. */
+/** Prefix of all keys that instances write to the store. */
 export const RELAY_KEY_PREFIX = 'skylarksail/';
-const INSTANCES = `${RELAY_KEY_PREFIX}instances/`;
-const PLACEMENT = `${RELAY_KEY_PREFIX}placement/`;
+const INSTANCE_PREFIX = `${RELAY_KEY_PREFIX}instances/`;
+const PLACEMENT_PREFIX = `${RELAY_KEY_PREFIX}placement/`;
 
 /**
- * How long the duties of a dead instance stand. Shorter, and a pause of a second would cost them; longer, and
- * a domain that lost an engine with its placer would wait for the mending.
+ * How long the duties of a dead instance stay taken. With a shorter lease, a pause of one second would lose the duties.
+ * With a longer one, a domain that lost an engine together with its placing instance would wait longer for the repair.
  */
 const DUTY_LEASE_TIME: Millis = 3000;
-const DUTY_KEEP_PERIOD: Millis = 900;
+const DUTY_RENEW_PERIOD: Millis = 900;
 /**
- * How long the entry of a dead instance stands. Nothing waits for it to go: its peers find out when they ask it.
- * Every instance renews it, so a shorter one would be the larger part of a large fleet's calls to the store.
+ * How long the entry of a dead instance stays registered. Nothing depends on its removal, because peers notice the
+ * failure when they query the instance. Every instance renews its entry, so with a shorter lease the renewals would
+ * be the larger part of a large fleet's calls to the store.
  */
 const ENTRY_LEASE_TIME: Millis = 6000;
-const ENTRY_KEEP_PERIOD: Millis = 2000;
+const ENTRY_RENEW_PERIOD: Millis = 2000;
 const CALL_TIMEOUT: Millis = 800;
-/** Lead of a domain's own instances in taking its placement: they still reach it if it is cut off. */
+/**
+ * Extra delay of instances from other domains before they claim a placement. A domain's own instances are preferred,
+ * because they still reach its engines when the domain is cut off.
+ */
 const FOREIGN_DELAY: Millis = 1500;
 const CLAIM_PERIOD: Millis = 400;
-/** The same while all placements are held. A holder whose lease ends is heard of at once. */
+/** Claim period while all placements are held; it may be longer, as the end of a holder's lease is reported at once. */
 const IDLE_CLAIM_PERIOD: Millis = 1000;
 /**
- * A placement that is free is claimed by one instance after the other, in an order that all agree on: 39 of a
- * domain that claimed together would be 39 writes, of which one counts.
+ * Delay between the claims of successive instances. They claim a free placement in an order that all compute alike;
+ * if a domain's 39 instances claimed together, only one of the 39 writes would succeed.
  */
-const TURN_TIME: Millis = 300;
-/** Instances that come after so many others do not wait longer than these. */
-const MOST_TURNS = 8;
+const CLAIM_TURN_TIME: Millis = 300;
+/** Maximum number of turns that an instance waits, wherever it stands in the order. */
+const MAX_CLAIM_TURNS = 8;
 const JITTER_SHARE = 0.3;
 
 export function createRelayLease(options: RelayLeaseOptions): RelayLease {
   const { port, timers, random, self, minLeaseTime: leaseLeast } = options;
   const callOptions = { timeout: CALL_TIMEOUT };
   const keys = new Map<string, Pick<StoreItem, 'value' | 'revision'>>();
-  /** Read from `keys` when they have changed: parsing 64 entries for each engine took a quarter of all time. */
-  let known: readonly InstanceEntry[] | null = null;
+  /** Parsed from `keys` after they changed; parsing 64 entries for each engine took a quarter of the run time. */
+  let cachedInstances: readonly InstanceEntry[] | null = null;
   const vacantSince = new Map<DomainId, Millis>();
   let claimedAt = -Infinity;
   let stopped = false;
@@ -85,7 +89,7 @@
     timers,
     random,
     time: Math.max(ENTRY_LEASE_TIME, leaseLeast),
-    renewPeriod: ENTRY_KEEP_PERIOD,
+    renewPeriod: ENTRY_RENEW_PERIOD,
     onGranted: register,
     isNeeded: () => true,
   });
@@ -94,15 +98,15 @@
     timers,
     random,
     time: Math.max(DUTY_LEASE_TIME, leaseLeast),
-    renewPeriod: DUTY_KEEP_PERIOD,
+    renewPeriod: DUTY_RENEW_PERIOD,
     onGranted: () => Promise.resolve(true),
-    // The word that a claim has won comes back with the store's news, some hundred milliseconds later.
+    // The result of a claim arrives with the store's updates, some hundred milliseconds after the write.
     isNeeded: () =>
-      timers.now() - claimedAt < DUTY_LEASE_TIME || options.listDomains().some(isOwned),
+      timers.now() - claimedAt < DUTY_LEASE_TIME || options.listDomains().some(isHeldBySelf),
   });
 
   async function register(lease: number): Promise<boolean> {
-    const entry = { key: `${INSTANCES}${self.id}`, value: writeInstance(self), lease };
+    const entry = { key: `${INSTANCE_PREFIX}${self.id}`, value: formatInstance(self), lease };
     const written = await port.write([], [entry], [], callOptions);
     if (written.kind !== 'done') {
       options.onError(`registration ${written.kind}`);
@@ -110,42 +114,46 @@
     return written.kind === 'done';
   }
 
-  function isOwned(domain: DomainId): boolean {
-    return keys.get(`${PLACEMENT}${domain}`)?.value === self.id;
+  function isHeldBySelf(domain: DomainId): boolean {
+    return keys.get(`${PLACEMENT_PREFIX}${domain}`)?.value === self.id;
   }
 
   /**
-   * Whether a domain has instances of its own to place it. One that was cut off has placed itself
-   * meanwhile, and an instance elsewhere knows its engines only as they were before the cut.
+   * Whether a domain is not this instance's own and has registered instances, which then place it. They go on placing
+   * while the domain is cut off, and instances elsewhere know its engines only as they were before.
    */
-  function isForeign(domain: DomainId): boolean {
-    return domain !== self.domain && listKnown().some((instance) => instance.domain === domain);
+  function belongsToOthers(domain: DomainId): boolean {
+    return domain !== self.domain && getInstances().some((instance) => instance.domain === domain);
   }
 
-  function listKnown(): readonly InstanceEntry[] {
-    if (known === null) {
-      const listed = [...keys]
-        .filter(([key]) => key.startsWith(INSTANCES))
-        .flatMap(([key, { value }]) => readInstance(key.slice(INSTANCES.length), value) ?? []);
-      known = listed.some(({ id }) => id === self.id) ? listed : [...listed, self];
+  function getInstances(): readonly InstanceEntry[] {
+    if (cachedInstances === null) {
+      const registered = [...keys]
+        .filter(([key]) => key.startsWith(INSTANCE_PREFIX))
+        .flatMap(
+          ([key, { value }]) => parseInstance(key.slice(INSTANCE_PREFIX.length), value) ?? [],
+        );
+      cachedInstances = registered.some(({ id }) => id === self.id)
+        ? registered
+        : [...registered, self];
     }
-    return known;
+    return cachedInstances;
   }
 
-  /** Time from which a domain's placement has been free until it is this instance's turn to claim it. */
-  function getTurn(domain: DomainId): Millis {
+  /** How long a domain's placement must have been free until this instance claims it. */
+  function getClaimDelay(domain: DomainId): Millis {
     const isOwn = domain === self.domain;
-    const ids = listKnown()
+    const ids = getInstances()
       .filter((instance) => !isOwn || instance.domain === domain)
       .map(({ id }) => id);
-    const place = selectOwners(domain, ids, ids.length).indexOf(self.id);
-    return (isOwn ? 0 : FOREIGN_DELAY) + Math.min(place, MOST_TURNS) * TURN_TIME;
+    const rank = selectOwners(domain, ids, ids.length).indexOf(self.id);
+    return (isOwn ? 0 : FOREIGN_DELAY) + Math.min(rank, MAX_CLAIM_TURNS) * CLAIM_TURN_TIME;
   }
 
-  async function claim(domain: DomainId): Promise<void> {
-    const key = `${PLACEMENT}${domain}`;
+  async function claimOrRelease(domain: DomainId): Promise<void> {
+    const key = `${PLACEMENT_PREFIX}${domain}`;
     const held = keys.get(key);
-    if (held?.value === self.id && isForeign(domain)) {
+    if (held?.value === self.id && belongsToOthers(domain)) {
       await port.write([{ key, revision: held.revision }], [], [key], callOptions);
       return;
     }
@@ -155,13 +163,17 @@
     }
     const since = vacantSince.get(domain) ?? timers.now();
     vacantSince.set(domain, since);
-    if (!isForeign(domain) && entryLease.isValid() && timers.now() - since >= getTurn(domain)) {
+    if (
+      !belongsToOthers(domain) &&
+      entryLease.isValid() &&
+      timers.now() - since >= getClaimDelay(domain)
+    ) {
       vacantSince.set(domain, timers.now());
-      await take(key);
+      await claimKey(key);
     }
   }
 
-  async function take(key: string): Promise<void> {
+  async function claimKey(key: string): Promise<void> {
     claimedAt = timers.now();
     await dutyLease.start();
     const lease = dutyLease.getLeaseId();
@@ -170,34 +182,34 @@
     }
   }
 
-  function isAllHeld(): boolean {
-    return options.listDomains().every((domain) => keys.has(`${PLACEMENT}${domain}`));
+  function areAllHeld(): boolean {
+    return options.listDomains().every((domain) => keys.has(`${PLACEMENT_PREFIX}${domain}`));
   }
 
   function scheduleClaims(): void {
-    const period = isAllHeld() ? IDLE_CLAIM_PERIOD : CLAIM_PERIOD;
+    const period = areAllHeld() ? IDLE_CLAIM_PERIOD : CLAIM_PERIOD;
     timers.registerTimeout(jitter(random, period, JITTER_SHARE), () => {
       if (!stopped) {
-        void Promise.all(options.listDomains().map(claim)).finally(scheduleClaims);
+        void Promise.all(options.listDomains().map(claimOrRelease)).finally(scheduleClaims);
       }
     });
   }
 
   return {
     applyEvent(event) {
-      known = null;
+      cachedInstances = null;
       if (event.kind === 'written') {
         keys.set(event.item.key, event.item);
       } else {
         keys.delete(event.key);
-        if (event.key.startsWith(PLACEMENT)) {
-          vacantSince.set(event.key.slice(PLACEMENT.length), timers.now());
+        if (event.key.startsWith(PLACEMENT_PREFIX)) {
+          vacantSince.set(event.key.slice(PLACEMENT_PREFIX.length), timers.now());
         }
       }
     },
-    holds: (domain) => dutyLease.isValid() && isOwned(domain) && !isForeign(domain),
-    getLastHolder: (domain) => keys.get(`${PLACEMENT}${domain}`)?.value ?? null,
-    listInstances: listKnown,
+    holds: (domain) => dutyLease.isValid() && isHeldBySelf(domain) && !belongsToOthers(domain),
+    getLastHolder: (domain) => keys.get(`${PLACEMENT_PREFIX}${domain}`)?.value ?? null,
+    listInstances: getInstances,
     start() {
       void entryLease.start();
       scheduleClaims();
@@ -210,12 +222,12 @@
   };
 }
 
-/** An instance's entry: its domain and, if it has one, its address, with blanks between. */
-function writeInstance({ domain, address }: InstanceEntry): string {
+/** Formats an instance's entry: its domain and, if it has an address, host and port, separated by spaces. */
+function formatInstance({ domain, address }: InstanceEntry): string {
   return address ? `${domain} ${address.host} ${address.port}` : domain;
 }
 
-function readInstance(id: InstanceId, value: string): InstanceEntry | null {
+function parseInstance(id: InstanceId, value: string): InstanceEntry | null {
   const [domain, host, port] = value.split(' ');
   if (!domain) {
     return null;
--- a/packages/relay/src/RelayLeaseKeeper.ts
+++ b/packages/relay/src/RelayLeaseKeeper.ts
@@ -1,4 +1,4 @@
-/** One lease at the store, kept until it is stopped or lost. */
+/** Holds one lease of the store and renews it until it is stopped or no longer needed. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -9,28 +9,28 @@
   readonly port: StoreRangePort;
   readonly timers: TimerService;
   readonly random: Random;
-  /** How long the lease stands without being renewed. */
+  /** How long the lease is valid after it was granted or renewed. */
   readonly time: Millis;
   readonly renewPeriod: Millis;
-  /** Called with each new lease; what is to hang on it is written here. False gives the lease up. */
+  /** Writes the keys that are bound to a newly granted lease. If it resolves to false, the lease is not used. */
   readonly onGranted: (lease: number) => Promise<boolean>;
-  /** Whether the lease is still wanted; one that is not is left to lapse. */
+  /** Whether the lease is still needed; otherwise it is no longer renewed and lapses. */
   readonly isNeeded: () => boolean;
 }
 
 export interface LeaseKeeper {
-  /** Begins to keep a lease, unless one is kept already; resolves once it stands or was not granted. */
+  /** Acquires a lease and starts to renew it, unless this was started already; resolves after the first attempt. */
   start(): Promise<void>;
-  /** Whether the lease stands, and will for a moment. */
+  /** Whether the lease is valid and stays so for at least the safety margin. */
   isValid(): boolean;
-  /** The lease that stands now. */
+  /** The id of the current lease, or null if there is none. */
   getLeaseId(): number | null;
-  /** Ends the lease at once. */
+  /** Revokes the lease and stops renewing it. */
   stop(): void;
 }
 
-/** The lease is not acted on in its last part, since an order takes time to arrive. */
-const MARGIN: Millis = 800;
+/** Final part of the lease in which it is no longer acted on, because an order takes time to arrive. */
+const SAFETY_MARGIN: Millis = 800;
 const CALL_TIMEOUT: Millis = 800;
 const JITTER_SHARE = 0.3;
 
@@ -41,37 +41,37 @@
   let isKeeping = false;
   let isStopped = false;
 
-  async function grant(): Promise<void> {
-    const askedAt = timers.now();
+  async function acquire(): Promise<void> {
+    const requestedAt = timers.now();
     const granted = await port.grantLease(time, callOptions);
     if (granted.kind === 'done' && !isStopped && (await options.onGranted(granted.value))) {
-      lease = { id: granted.value, safeUntil: askedAt + time - MARGIN };
+      lease = { id: granted.value, safeUntil: requestedAt + time - SAFETY_MARGIN };
     }
   }
 
-  async function keep(): Promise<void> {
+  async function renewOrAcquire(): Promise<void> {
     if (lease === null) {
-      await grant();
+      await acquire();
       return;
     }
-    const kept = lease;
-    const askedAt = timers.now();
-    const outcome = await port.keepLease(kept.id, callOptions);
+    const current = lease;
+    const requestedAt = timers.now();
+    const outcome = await port.keepLease(current.id, callOptions);
     if (outcome.kind === 'done') {
-      kept.safeUntil = askedAt + time - MARGIN;
+      current.safeUntil = requestedAt + time - SAFETY_MARGIN;
     } else if (outcome.kind === 'refused' && outcome.reason.kind === 'lapsed') {
       lease = null;
-      await grant();
+      await acquire();
     }
   }
 
-  function schedule(): void {
+  function scheduleRenewal(): void {
     timers.registerTimeout(jitter(random, options.renewPeriod, JITTER_SHARE), () => {
       if (isStopped) {
         return;
       }
       if (options.isNeeded()) {
-        void keep().finally(schedule);
+        void renewOrAcquire().finally(scheduleRenewal);
       } else {
         lease = null;
         isKeeping = false;
@@ -83,7 +83,7 @@
     async start() {
       if (!isKeeping && !isStopped) {
         isKeeping = true;
-        await keep().finally(schedule);
+        await renewOrAcquire().finally(scheduleRenewal);
       }
     },
     isValid: () => lease !== null && !isStopped && timers.now() < lease.safeUntil,
--- a/packages/relay/src/RelayMetrics.ts
+++ b/packages/relay/src/RelayMetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of the relay: calls to the store, what the instance knows, and the log itself. */
+/** Metrics of the relay: calls to the store and to peers, the state of the instance, and dropped log lines. */
 import type { DaemonMetrics } from '@skylarksail/daemon/DaemonMetrics';
 import type { LogSink } from '@skylarksail/daemon/DaemonLogSink';
 import type { StoreOutcome } from '@skylarksail/store/StorePort';
@@ -6,13 +6,13 @@
 import type { RelayParts } from './RelayParts.js';
 import type { PeerHttp } from './RelayPeerHttp.js';
 
-/** The same port, with its calls counted by how they ended. */
+/** Wraps a store port to count its calls by outcome. */
 export function countStoreCalls(port: StoreRangePort, metrics: DaemonMetrics): StoreRangePort {
   async function count<T>(outcome: Promise<StoreOutcome<T>>): Promise<StoreOutcome<T>> {
-    const ended = await outcome;
-    const { kind } = ended;
+    const result = await outcome;
+    const { kind } = result;
     metrics.count(`store_calls_${kind}`, `calls to the store that ended ${kind}`);
-    return ended;
+    return result;
   }
   return {
     readRange: (...args) => count(port.readRange(...args)),
@@ -24,7 +24,7 @@
   };
 }
 
-/** The same questions to peers, counted by how they ended. */
+/** Wraps requests to peers to count update queries by outcome and the retries granted. */
 export function countPeerCalls(
   peers: Pick<PeerHttp, 'askForUpdates' | 'askGrant'>,
   metrics: DaemonMetrics,
@@ -43,7 +43,7 @@
   };
 }
 
-/** Shows what an instance knows. */
+/** Registers gauges of the instance's state. */
 export function registerRelayMetrics(
   metrics: DaemonMetrics,
   parts: Pick<RelayParts, 'readState' | 'router' | 'isReady'>,
@@ -81,7 +81,7 @@
   gauges.forEach(([name, help, read]) => metrics.registerGauge(name, help, read));
 }
 
-/** Shows how many log lines were dropped since the start. */
+/** Registers gauges of the log lines dropped since the start. */
 export function registerLogMetrics(
   metrics: DaemonMetrics,
   sink: Pick<LogSink, 'getDropped'>,
--- a/packages/relay/src/RelayParts.ts
+++ b/packages/relay/src/RelayParts.ts
@@ -1,4 +1,4 @@
-/** The parts of an instance that serves by routes, joined to each other round the router of requests. */
+/** Creates and connects the components of an instance that serves routes, around the request router. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -52,14 +52,14 @@
   readonly bounds: RelayBounds;
   /** All failure domains of the deployment. */
   readonly domains: readonly DomainId[];
-  /** Copies of each layer that a domain may hold where its memory allows. */
+  /** Maximum number of copies of each layer that a domain holds where its memory allows. */
   readonly mostCopies: number;
-  /** Time after its acknowledgement in which a change is to be in force everywhere. */
+  /** Time within which an acknowledged configuration change must be in force at all instances. */
   readonly changeTime: Millis;
   /** Shortest lease that the store grants. */
   readonly minLeaseTime: Millis;
   readonly timers: TimerService;
-  /** Time of day, in ms. */
+  /** Wall clock time in ms, which also advances while the process is suspended. */
   readonly wallNow: () => Millis;
   readonly random: Random;
   readonly store: StoreRangePort;
@@ -81,37 +81,37 @@
   readonly updates: RelayUpdates;
   readonly retries: RelayRetryBudget;
   getTable(): RouteTable | null;
-  /** What the metrics show of this instance's knowledge. */
+  /** Reads the state that the metrics report. */
   readState(): RelayState;
-  /** Whether callers should be sent here. */
+  /** Whether callers should be sent to this instance. */
   isReady(): boolean;
-  /** The settings changed. */
+  /** Handles a change of this instance's settings. */
   noteSettingsChanged(): void;
-  /** Gives duties up; running work goes on. */
+  /** Releases the duties and stops to serve as a source of updates; running requests continue. */
   startLeaving(): void;
   stop(): void;
 }
 
-/** What an instance knows, in numbers. */
+/** An instance's view of the deployment, as reported in the metrics. */
 export interface RelayState {
   /** Version of the configuration in force; 0 if none is. */
   readonly version: number;
   readonly instances: number;
   readonly backends: number;
-  /** Backend servers of which something was seen that the store has not told. */
+  /** Backend servers whose directly observed state overrides the store's. */
   readonly observed: number;
   /** Failure domains whose layers this instance places. */
   readonly duties: number;
-  /** Whether neither the store nor a peer that hears it can be reached. */
+  /** Whether this instance reaches neither the store nor a peer that reaches it. */
   readonly isIsolated: boolean;
-  /** Time since this instance last knew all that the store held. */
+  /** Time since this instance last knew the whole content of the store. */
   readonly newsAge: Millis;
 }
 
-/** Waiting requests of one team at one instance. */
-const TEAM_QUEUE = 400;
+/** Maximum number of queued requests of one team at one instance. */
+const TEAM_QUEUE_LIMIT = 400;
 
-/** No caller of these routes shows an idempotency key, so nothing is ever claimed. */
+/** Callers of these routes send no idempotency key, so no claim is ever made. */
 const NO_CLAIMS: ClaimPort = {
   claim: () => Promise.resolve({ kind: 'unavailable', retryAfter: 0 }),
   settle: () => undefined,
@@ -151,7 +151,7 @@
     countOwnInstances,
     getOthersWork,
   });
-  const knowledge = startRelaySync({
+  const sync = startRelaySync({
     self,
     timers,
     random,
@@ -189,7 +189,7 @@
     domain: self.domain,
     catalogue,
     port: { readHealth: backends.readHealth, readStatus: backends.orders.readStatus },
-    isIsolated: () => knowledge.peers.isIsolated(),
+    isIsolated: () => sync.peers.isIsolated(),
     onHealthy: noteAlive,
     onUnhealthy: (seen) => {
       metrics.count(`health_${seen.health}`, `engines that answered ${seen.health} when asked`);
@@ -202,7 +202,7 @@
     bounds: options.bounds,
     domains: options.domains,
     listInstances: lease.listInstances,
-    isCurrent: knowledge.updates.isCurrent,
+    isCurrent: sync.updates.isCurrent,
     askGrant: options.askGrant,
   });
   const router = createRequestRouter({
@@ -219,7 +219,7 @@
     getRetryBurst: repeats.getBurst,
     requestRetries: repeats.request,
     mayBreakOff: calm.isUnaffected,
-    getTeamLimits: () => ({ share: 1, queueLimit: TEAM_QUEUE }),
+    getTeamLimits: () => ({ share: 1, queueLimit: TEAM_QUEUE_LIMIT }),
     getKvCapacity: () => null,
     getBootId: routing.getBootId,
     isEnding: (engine) => catalogue.get(engine)?.state !== LifeState.Live,
@@ -232,15 +232,15 @@
     random,
     router,
     getTable: () => table,
-    getStaleness: readNewsAge,
+    getStaleness: readStaleness,
     changeTime: options.changeTime,
-    confirmCurrent: knowledge.confirmCurrent,
+    confirmCurrent: sync.confirmCurrent,
     onDecision: decisions.record,
   });
   const isPlacing = createPlacementDuty({
     self,
     lease,
-    peers: knowledge.peers,
+    peers: sync.peers,
     isLeaving: () => isLeaving,
   });
   const placement = createRelayPlacement({
@@ -264,14 +264,14 @@
     router.noteEngineAlive(engine, routing.getBootId(engine) ?? engine);
   }
 
-  /** A server of a service that the configuration does not name is not used, whoever wrote its entry. */
+  /** Whether the configuration names the service. Servers of other services are not used, whoever registered them. */
   function isServed(service: ServiceId): boolean {
     return table === null || table.findService(service) !== null;
   }
 
-  /** Infinite where all that is known may be from before a suspension of this process. */
-  function readNewsAge(): Millis {
-    const { age } = knowledge.updates.readState();
+  /** The staleness, or Infinity if the last update may predate a suspension of this process. */
+  function readStaleness(): Millis {
+    const { age } = sync.updates.readState();
     return timers.now() - age >= suspension.getResumedAt() ? age : Infinity;
   }
 
@@ -284,24 +284,24 @@
   }
 
   function getOthersWork(engine: EngineId): PeerWork | null {
-    return knowledge.work.getPeerWork(engine);
+    return sync.work.getPeerWork(engine);
   }
 
   function countOwnInstances(): number {
     return lease.listInstances().filter(({ domain }) => domain === self.domain).length;
   }
 
-  const lookAtCoverage = createCoverageCheck({
+  const checkCoverage = createCoverageCheck({
     domain: self.domain,
     catalogue,
     getTable: () => table,
     onChange: (coverage) => logger.info(coverage, 'layers held'),
   });
-  const undo: Unregister[] = [
+  const cleanups: Unregister[] = [
     catalogue.registerListener(
       coalesce(timers, () => {
         engines.refresh();
-        lookAtCoverage();
+        checkCoverage();
       }),
     ),
     engines.start(),
@@ -315,8 +315,8 @@
   return {
     intake,
     router,
-    peers: knowledge.peers,
-    updates: knowledge.updates,
+    peers: sync.peers,
+    updates: sync.updates,
     retries: repeats,
     getTable: () => table,
     readState: () => ({
@@ -325,21 +325,21 @@
       backends: catalogue.list().length,
       observed: catalogue.listObserved().length,
       duties: listDomains(catalogue).filter(isPlacing).length,
-      isIsolated: knowledge.peers.isIsolated(),
-      newsAge: knowledge.updates.readState().age,
+      isIsolated: sync.peers.isIsolated(),
+      newsAge: sync.updates.readState().age,
     }),
     isReady: () => table !== null && !isLeaving,
     noteSettingsChanged: calm.noteSettingsChange,
     startLeaving() {
       isLeaving = true;
       calm.noteStop();
-      knowledge.peers.noteLeaving();
-      knowledge.updates.noteLeaving();
+      sync.peers.noteLeaving();
+      sync.updates.noteLeaving();
       lease.stop();
     },
     stop() {
-      knowledge.stop();
-      undo.forEach((stopPart) => stopPart());
+      sync.stop();
+      cleanups.forEach((cleanup) => cleanup());
       router.stop();
     },
   };
--- a/packages/relay/src/RelayPlacement.ts
+++ b/packages/relay/src/RelayPlacement.ts
@@ -1,7 +1,7 @@
 /**
- * Brings a failure domain's engines to hold what the plan says, while this instance has the duty. An
- * engine is asked for its count of orders first, and an order names that count: one that was delayed on
- * its way, or that an earlier holder sent, then no longer fits and changes nothing.
+ * Sends orders to the engines of a failure domain until they hold the planned layers, while this instance has the
+ * placement duty. Each order carries the engine's order count, which is queried before. An engine whose count has
+ * changed rejects the order, so orders that were delayed or sent by an earlier holder of the duty have no effect.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import { LifeState } from '@skylarksail/core/CoreConstants';
@@ -31,7 +31,7 @@
   /** All failure domains of the deployment. */
   readonly domains: readonly DomainId[];
   readonly port: RangeOrderPort;
-  /** Copies of each layer that a domain may hold where its memory allows; 1 for one chain a domain. */
+  /** Maximum number of copies of each layer that a domain holds where its memory allows; 1 for one chain per domain. */
   readonly mostCopies: number;
   readonly onDecision: (decision: {
     readonly domain: DomainId;
@@ -45,12 +45,12 @@
   start(): Unregister;
 }
 
-const TICK: Millis = 200;
-/** The same while this instance places nothing, as most do: it only has to notice a duty that is new. */
-const IDLE_TICK: Millis = 600;
+const TICK_PERIOD: Millis = 200;
+/** Period while this instance has no duty, as most instances do; it only has to notice a new duty. */
+const IDLE_TICK_PERIOD: Millis = 600;
 const ORDER_TIMEOUT: Millis = 1000;
-/** Time beyond the load itself after which an order without effect is taken for lost. */
-const ORDER_PATIENCE: Millis = 4000;
+/** Time after the expected end of the load until an order without effect counts as lost. */
+const ORDER_GRACE: Millis = 4000;
 const RETRY_PAUSE: Millis = 600;
 
 interface PendingOrder {
@@ -58,29 +58,32 @@
   readonly until: Millis;
 }
 
-/** A service that is a pipeline, with its engines by failure domain. */
+/** A pipeline service with its engines, grouped by failure domain. */
 interface PlacedService {
   readonly service: RoutedService;
   readonly pipeline: PipelineFacts;
   readonly byDomain: ReadonlyMap<DomainId, readonly BackendEntry[]>;
 }
 
-/** What a domain is being brought to. Kept until its engines change, so that orders do not chase reports. */
-type DomainGoal = Map<EngineId, LayerRange>;
+/**
+ * The layers that each engine of a domain should hold. Kept until the domain's engines change, so that reports of
+ * partly executed orders do not cause new plans.
+ */
+type DomainTarget = Map<EngineId, LayerRange>;
 
-const NO_GOAL: DomainGoal = new Map();
+const NO_TARGET: DomainTarget = new Map();
 
 export function createRelayPlacement(options: RelayPlacementOptions): RelayPlacement {
   const { timers, catalogue, getTable, hasDuty: holds, port, mostCopies } = options;
   const pending = new Map<EngineId, PendingOrder>();
-  const paused = new Map<EngineId, Millis>();
-  const goals = new Map<string, DomainGoal>();
+  const pausedUntil = new Map<EngineId, Millis>();
+  const targets = new Map<string, DomainTarget>();
   const patience = createReplanDelays(timers);
 
-  function getGoal(key: string): DomainGoal {
-    const goal: DomainGoal = goals.get(key) ?? new Map<EngineId, LayerRange>();
-    goals.set(key, goal);
-    return goal;
+  function getTarget(key: string): DomainTarget {
+    const target: DomainTarget = targets.get(key) ?? new Map<EngineId, LayerRange>();
+    targets.set(key, target);
+    return target;
   }
 
   async function sendOrder(
@@ -89,12 +92,12 @@
     pipeline: PipelineFacts,
   ): Promise<void> {
     const share = (range.end - range.first) / pipeline.layers;
-    const until = timers.now() + pipeline.load * share + ORDER_PATIENCE;
+    const until = timers.now() + pipeline.load * share + ORDER_GRACE;
     pending.set(entry.id, { range, until });
-    const outcome = await askAndOrder(entry, range);
+    const outcome = await checkAndOrder(entry, range);
     if (outcome === 'stale' || outcome === 'refused' || outcome === 'busy') {
       pending.delete(entry.id);
-      paused.set(entry.id, timers.now() + RETRY_PAUSE);
+      pausedUntil.set(entry.id, timers.now() + RETRY_PAUSE);
     }
     options.onDecision({
       domain: entry.domain,
@@ -104,7 +107,7 @@
     });
   }
 
-  async function askAndOrder(
+  async function checkAndOrder(
     entry: BackendEntry,
     range: LayerRange,
   ): Promise<RangeOrderAnswer | 'busy'> {
@@ -112,8 +115,8 @@
     if (status === null) {
       return 'refused';
     }
-    if (isAnotherLife(status, entry)) {
-      // The plan was made for layers that ended with the earlier life; the new one's entry is on its way.
+    if (isOtherIncarnation(status, entry)) {
+      // The plan assumes layers that the engine lost in its restart; the entry of the new incarnation follows.
       return 'stale';
     }
     if (status.isBusy || !holds(entry.domain)) {
@@ -122,7 +125,7 @@
     return port.order(entry, range, status.orderCount, ORDER_TIMEOUT);
   }
 
-  function settlePending(): void {
+  function prunePending(): void {
     for (const [id, { range, until }] of pending) {
       const entry = catalogue.get(id);
       if (entry === null || isSameRange(entry.layers, range) || timers.now() >= until) {
@@ -136,18 +139,18 @@
     const key = getKey(service, domain);
     const entries = placed.byDomain.get(domain) ?? [];
     const live = entries.filter(({ state }) => state === LifeState.Live);
-    const goal = getGoal(key);
+    const target = getTarget(key);
     const ids = new Set(live.map(({ id }) => id));
-    [...goal.keys()].filter((id) => !ids.has(id)).forEach((id) => goal.delete(id));
+    [...target.keys()].filter((id) => !ids.has(id)).forEach((id) => target.delete(id));
     patience.observe(key, entries);
-    replan(placed, domain, goal, live);
-    const engines = listRangeEngines(live, pipeline, NO_GOAL);
+    replan(placed, domain, target, live);
+    const engines = listRangeEngines(live, pipeline, NO_TARGET);
     live.forEach((entry, i) => {
       const engine = engines[i];
-      const wanted = goal.get(entry.id);
+      const targetRange = target.get(entry.id);
       const others = engines.filter((other) => other !== engine);
-      const range = engine && wanted ? planStep(engine, wanted, others, pipeline) : null;
-      const isWaiting = pending.has(entry.id) || (paused.get(entry.id) ?? 0) > timers.now();
+      const range = engine && targetRange ? planStep(engine, targetRange, others, pipeline) : null;
+      const isWaiting = pending.has(entry.id) || (pausedUntil.get(entry.id) ?? 0) > timers.now();
       if (range && !isWaiting) {
         void sendOrder(entry, range, pipeline);
       }
@@ -157,49 +160,53 @@
   function replan(
     placed: PlacedService,
     domain: DomainId,
-    goal: DomainGoal,
+    target: DomainTarget,
     live: readonly BackendEntry[],
   ): void {
     const { pipeline } = placed;
     const key = getKey(placed.service, domain);
-    const engines = listRangeEngines(live, pipeline, goal);
-    const isFresh = engines.every(({ held }) => held === null);
-    if (isFresh && !patience.isSettled(key)) {
+    const engines = listRangeEngines(live, pipeline, target);
+    const isUnplaced = engines.every(({ held }) => held === null);
+    if (isUnplaced && !patience.isSettled(key)) {
       return;
     }
     const hasGap = findGaps(engines, pipeline).length > 0;
     const mayMend = patience.isGapDue(key, hasGap);
     const plan = planCopies(engines, pipeline, mostCopies, {
       mayReassign: mayMend,
-      mayRebuild: mayMend && patience.isLossGraceOver(key) && !isAwaiting(domain),
+      mayRebuild: mayMend && patience.isLossGraceOver(key) && !isAwaitingReturn(domain),
       mayBalance: patience.isStable(key),
-      mayRepartition: !hasGap && mayTune(placed, domain),
+      mayRepartition: !hasGap && mayRecutDomain(placed, domain),
     });
-    plan?.forEach((range, id) => goal.set(id, range));
+    plan?.forEach((range, id) => target.set(id, range));
   }
 
   /**
-   * Whether engines of a domain were found silent that are still registered. One that crashed is back within some
-   * four seconds, most often just after its entry has lapsed, and loads what it held in one; a whole cut ends all
-   * answers of the domain and loads for five.
+   * Whether a domain has engines that were observed not to answer and are still registered. A crashed engine usually
+   * returns within four seconds, most often just after its entry has lapsed, and loads its former layers in one
+   * second. Repartitioning the whole domain breaks off all its answers and loads for five seconds.
    */
-  function isAwaiting(domain: DomainId): boolean {
+  function isAwaitingReturn(domain: DomainId): boolean {
     return catalogue
       .listObserved()
       .some((entry) => entry.domain === domain && entry.state === LifeState.Leaving);
   }
 
   /**
-   * Whether a whole domain may be cut anew for more room. It serves nothing meanwhile, so one does it at a
-   * time, the first that gains by it, and only while all others are whole.
+   * Whether the layers of a whole domain may be repartitioned for more capacity. The domain serves nothing meanwhile,
+   * so only one domain does this at a time: the first by name that gains capacity, and only while no other domain
+   * lacks a layer.
    */
-  function mayTune({ service, pipeline, byDomain }: PlacedService, domain: DomainId): boolean {
+  function mayRecutDomain(
+    { service, pipeline, byDomain }: PlacedService,
+    domain: DomainId,
+  ): boolean {
     if (!patience.isStable(getKey(service, domain))) {
       return false;
     }
     const views = [...byDomain].map(([name, entries]) => {
       const live = entries.filter(({ state }) => state === LifeState.Live);
-      const engines = listRangeEngines(live, pipeline, NO_GOAL);
+      const engines = listRangeEngines(live, pipeline, NO_TARGET);
       return {
         name,
         isWhole: findGaps(engines, pipeline).length === 0,
@@ -223,10 +230,10 @@
   }
 
   function tick(): boolean {
-    settlePending();
+    prunePending();
     const isPlacing = options.domains.some(holds);
     if (!isPlacing) {
-      goals.clear();
+      targets.clear();
       return false;
     }
     for (const placed of listPlaced()) {
@@ -234,8 +241,8 @@
         if (holds(domain)) {
           placeDomain(placed, domain);
         } else {
-          // Another holder moves layers meanwhile: our old goals would take its work back.
-          goals.delete(getKey(placed.service, domain));
+          // Another holder may move layers now; targets from before would undo its changes.
+          targets.delete(getKey(placed.service, domain));
         }
       });
     }
@@ -243,16 +250,16 @@
   }
 
   function start(): Unregister {
-    let undo = timers.registerTimeout(TICK, function fire() {
-      undo = timers.registerTimeout(tick() ? TICK : IDLE_TICK, fire);
+    let cancel = timers.registerTimeout(TICK_PERIOD, function fire() {
+      cancel = timers.registerTimeout(tick() ? TICK_PERIOD : IDLE_TICK_PERIOD, fire);
     });
-    return () => undo();
+    return () => cancel();
   }
 
   return { start };
 }
 
-function isAnotherLife({ born }: EngineStatus, entry: BackendEntry): boolean {
+function isOtherIncarnation({ born }: EngineStatus, entry: BackendEntry): boolean {
   return born !== null && entry.born !== null && born !== entry.born;
 }
 
@@ -273,15 +280,15 @@
   return groups;
 }
 
-/** Engines as the planner takes them, with the layers that they are to hold or, without a goal, hold. */
+/** Converts entries to the planner's form, with an engine's target layers or, without a target, those that it holds. */
 function listRangeEngines(
   entries: readonly BackendEntry[],
   pipeline: PipelineFacts,
-  goal: ReadonlyMap<EngineId, LayerRange>,
+  target: ReadonlyMap<EngineId, LayerRange>,
 ): readonly RangeEngine[] {
   return entries.map((entry) => ({
     id: entry.id,
     memoryBytes: pipeline.accelerators.get(entry.accelerator ?? '')?.memoryBytes ?? 0,
-    held: goal.get(entry.id) ?? entry.layers,
+    held: target.get(entry.id) ?? entry.layers,
   }));
 }
--- a/packages/relay/src/RelayPlannedWork.ts
+++ b/packages/relay/src/RelayPlannedWork.ts
@@ -1,46 +1,50 @@
 /**
- * Whether planned work goes on: a change of the configuration or of the settings, or this instance's own stop.
- * Planned work is to cut no answer. One whose engines fell silent then is not broken off for its caller to try
- * elsewhere, as in other times; it goes on if a chain is found before its caller leaves.
+ * Tracks planned work: a change of the configuration or of the settings, or the shutdown of this instance.
+ * Planned work must not abort any answer. If the engines of an answer stop responding during planned work, the answer
+ * is not aborted for the caller to retry elsewhere, as it is at other times; it resumes if a chain is found before the
+ * caller leaves.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
 export interface RelayPlannedWork {
-  /** A configuration was put in force. */
+  /** Records that a configuration came into force. */
   noteConfigChange(): void;
-  /** The settings changed. */
+  /** Records that the settings changed. */
   noteSettingsChange(): void;
-  /** This instance stops. */
+  /** Records that this instance is shutting down. */
   noteStop(): void;
-  /** Whether no planned work goes on that touches a request which was taken at `takenAt`. */
-  isUnaffected(takenAt: Millis): boolean;
+  /** Whether no planned work affects a request that was accepted at `acceptedAt`. */
+  isUnaffected(acceptedAt: Millis): boolean;
 }
 
-/** Answers that began before a change was in force everywhere last a second more. */
-const AFTER_CHANGE: Millis = 1000;
-/** A large configuration is in force here before the store has acknowledged it, from when its time counts. */
+/** Answers that began before a change was in force on all instances can last a second longer. */
+const POST_CHANGE_TIME: Millis = 1000;
+/**
+ * A large configuration can be in force here before the store has acknowledged it. `changeTime` only starts at the
+ * acknowledgement.
+ */
 const ACKNOWLEDGEMENT_LAG: Millis = 2000;
-/** A request was sent by its caller before it was taken here. */
-const READING_TIME: Millis = 500;
+/** Allows for the time between the caller sending a request and this instance accepting it. */
+const REQUEST_READ_TIME: Millis = 500;
 
-/** `changeTime` is the time after its acknowledgement in which a change is to be in force everywhere. */
+/** `changeTime` is the time within which a change must be in force on all instances after its acknowledgement. */
 export function createRelayPlannedWork(timers: TimerService, changeTime: Millis): RelayPlannedWork {
-  let calmFrom = -Infinity;
-  /** Requests that were taken before are touched by a change of the settings, however long they last. */
-  let settledFrom = -Infinity;
+  let unaffectedFrom = -Infinity;
+  /** A change of the settings affects all requests accepted before this time, however long they last. */
+  let settingsAppliedAt = -Infinity;
 
   return {
     noteConfigChange() {
-      const time = ACKNOWLEDGEMENT_LAG + changeTime + AFTER_CHANGE;
-      calmFrom = Math.max(calmFrom, timers.now() + time);
+      const time = ACKNOWLEDGEMENT_LAG + changeTime + POST_CHANGE_TIME;
+      unaffectedFrom = Math.max(unaffectedFrom, timers.now() + time);
     },
     noteSettingsChange() {
-      settledFrom = timers.now() + changeTime + READING_TIME;
+      settingsAppliedAt = timers.now() + changeTime + REQUEST_READ_TIME;
     },
     noteStop() {
-      calmFrom = Infinity;
+      unaffectedFrom = Infinity;
     },
-    isUnaffected: (takenAt) => timers.now() >= calmFrom && takenAt >= settledFrom,
+    isUnaffected: (acceptedAt) => timers.now() >= unaffectedFrom && acceptedAt >= settingsAppliedAt,
   };
 }
--- a/packages/relay/src/RelayPorts.ts
+++ b/packages/relay/src/RelayPorts.ts
@@ -1,4 +1,4 @@
-/** The ways to backend servers that the relay uses, implemented by adapters with sockets behind them. */
+/** Ports to backend servers, implemented by network adapters. */
 import type {
   EngineId,
   HostPort,
@@ -9,37 +9,37 @@
 import type { OpenEngineCall, OpenServiceCall } from '@skylarksail/requests/RequestPorts';
 import type { BackendEntry } from './RelayTypes.js';
 
-/** What a server says of its health. `id` is that of the incarnation that answered. */
+/** Result of a health probe. `id` identifies the incarnation that answered. */
 export type HealthAnswer =
   | { readonly kind: 'well'; readonly id: EngineId }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'silent' };
 
-/** Questions to backend servers. */
+/** Probes of backend servers. */
 export interface BackendProbePort {
   readHealth(entry: BackendEntry, timeout: Millis): Promise<HealthAnswer>;
   readStatus(entry: BackendEntry, timeout: Millis): Promise<EngineStatus | null>;
 }
 
-/** What an engine says of its orders. */
+/** Status of an engine and its orders. */
 export interface EngineStatus {
-  /** When the life that answered began, in Unix ms; null where it does not say. */
+  /** Start time of the incarnation that answered, in Unix ms; null if not reported. */
   readonly born: number | null;
-  /** Orders that it has accepted since its start. */
+  /** Number of orders accepted since its start. */
   readonly orderCount: number;
-  /** Whether one is being carried out. */
+  /** Whether it is executing an order. */
   readonly isBusy: boolean;
-  /** Layers that it serves now; null if it holds none. */
+  /** Layers that it currently serves; null if it holds none. */
   readonly layers: LayerRange | null;
 }
 
-/** `stale`: another order came first. `refused`: it does not fit. */
+/** `stale`: another order was accepted first. `refused`: the engine rejected the order. */
 export type RangeOrderAnswer = 'accepted' | 'stale' | 'refused' | 'unknown';
 
-/** The orders' way to the engines. */
+/** Sends orders to engines. */
 export interface RangeOrderPort {
   readStatus(entry: BackendEntry, timeout: Millis): Promise<EngineStatus | null>;
-  /** Orders an engine to hold `range`, provided that it has accepted `orderCount` orders so far. */
+  /** Orders an engine to hold `range`, if it has accepted exactly `orderCount` orders so far. */
   order(
     entry: BackendEntry,
     range: LayerRange,
@@ -48,17 +48,17 @@
   ): Promise<RangeOrderAnswer>;
 }
 
-/** What the adapter of calls may ask about backend servers. */
+/** Lookups of backend servers for the adapter that sends calls. */
 export interface BackendView {
   getBackend(id: EngineId): BackendEntry | null;
   findByAddress(address: HostPort): EngineId | null;
-  /** Path that a service's backend servers answer about their health; null if it is not known. */
+  /** Path of the health check of a service's backend servers; null if unknown. */
   getHealthPath(service: ServiceId): string | null;
-  /** Connections that this instance may have to the backend server at an address. */
+  /** Maximum number of connections from this instance to the backend server at an address. */
   getMaxConnections(address: HostPort): number;
 }
 
-/** The ways to backend servers, with sockets behind them. */
+/** All ports to backend servers. */
 export interface BackendPorts {
   readonly openEngineCall: OpenEngineCall;
   readonly openServiceCall: OpenServiceCall;
--- a/packages/relay/src/RelayReplanDelays.ts
+++ b/packages/relay/src/RelayReplanDelays.ts
@@ -1,58 +1,58 @@
-/** How long a failure domain is left as it is before its engines are given other layers. */
+/** Delays before the layers of a failure domain are replanned after its engines change. */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { BackendEntry } from './RelayTypes.js';
 
-/** At a start, or after a cut, engines register within so short a time after each other. */
+/** At a start or after a network partition, engines register within this time of each other. */
 const SETTLE_TIME: Millis = 1000;
-/** Time that a lost engine has to come back, or a new one to come, before others take its layers. */
-const GAP_PATIENCE: Millis = 1500;
+/** Time for a lost engine to return, or for a new one to register, before others take over its layers. */
+const GAP_GRACE: Millis = 1500;
 /**
- * The same where no engine was lost but one said that it leaves: it does not come back, and its chain is
- * refused from then on. Engines that leave together say so within some hundred milliseconds.
+ * The same if no engine was lost but one announced that it leaves: it does not return, and its chain is refused from
+ * then on. Engines that leave together announce it within a few hundred milliseconds of each other.
  */
-const LEAVING_PATIENCE: Millis = 300;
-/** A lost engine is waited for no longer than this after its loss was seen. */
+const LEAVING_GRACE: Millis = 300;
+/** Time after the loss of an engine during which the longer grace period applies. */
 const LOSS_MEMORY: Millis = 5000;
 /**
- * A domain whose layers are all held waits so long after its last change before it is cut anew for more
- * room: a whole cut leaves it without a chain for its loads, and engines come and go in series.
+ * Time without changes before a domain whose layers are all held is replanned for more capacity. A full replan leaves
+ * the domain without a chain while engines load layers, and engines tend to come and go in groups.
  */
-const TUNE_TIME: Millis = 8000;
+const STABLE_TIME: Millis = 8000;
 
-/** What is remembered of one domain's engines. */
-interface DomainMemory {
+/** State of one domain's engines and the times of their last changes. */
+interface DomainHistory {
   readonly states: ReadonlyMap<EngineId, string>;
   readonly changedAt: Millis;
   readonly addedAt: Millis;
   readonly lostAt: Millis;
-  /** When an engine was last unregistered, also one that had said that it leaves or was found silent. */
+  /** When an engine was last unregistered, including engines that were leaving or found unresponsive. */
   readonly goneAt: Millis;
   readonly gapSince: Millis | null;
 }
 
-/** Patience with domains, each by its key. */
+/** Replan delays of all domains, each identified by its key. */
 export interface ReplanDelays {
-  /** Takes in a domain's engines as they are now. */
+  /** Updates the state of a domain's engines. */
   observe(key: string, entries: readonly BackendEntry[]): void;
-  /** Whether no engine has come or gone for a moment. */
+  /** Whether no engine has come, gone or changed state for `SETTLE_TIME`. */
   isSettled(key: string): boolean;
-  /** Whether missing layers were waited for long enough. */
+  /** Whether the grace period for missing layers is over. */
   isGapDue(key: string, hasGap: boolean): boolean;
-  /** Whether an engine that was unregistered has had its time to come back. */
+  /** Whether the grace period for the last unregistered engine to return is over. */
   isLossGraceOver(key: string): boolean;
-  /** Whether nothing has changed for so long that a cut for more room is worth while. */
+  /** Whether the domain has been unchanged for long enough to replan it for more capacity. */
   isStable(key: string): boolean;
 }
 
 export function createReplanDelays(timers: TimerService): ReplanDelays {
-  const memories = new Map<string, DomainMemory>();
+  const histories = new Map<string, DomainHistory>();
 
-  function getMemory(key: string): DomainMemory {
+  function getHistory(key: string): DomainHistory {
     const now = timers.now();
     return (
-      memories.get(key) ?? {
+      histories.get(key) ?? {
         states: new Map(),
         changedAt: now,
         addedAt: now,
@@ -63,14 +63,14 @@
     );
   }
 
-  function isLeavingOnly({ states, lostAt }: DomainMemory): boolean {
+  function isLeavingOnly({ states, lostAt }: DomainHistory): boolean {
     return [...states.values()].includes(LifeState.Leaving) && timers.now() - lostAt >= LOSS_MEMORY;
   }
 
   return {
     observe(key, entries) {
       const now = timers.now();
-      const before = getMemory(key);
+      const before = getHistory(key);
       const states = new Map(entries.map(({ id, state }) => [id, state]));
       const isAdded = [...states.keys()].some((id) => !before.states.has(id));
       const isLost = [...before.states].some(
@@ -81,7 +81,7 @@
         isAdded ||
         states.size !== before.states.size ||
         [...states].some(([id, state]) => before.states.get(id) !== state);
-      memories.set(key, {
+      histories.set(key, {
         ...before,
         states,
         changedAt: isChanged ? now : before.changedAt,
@@ -90,18 +90,18 @@
         goneAt: isGone ? now : before.goneAt,
       });
     },
-    isSettled: (key) => timers.now() - getMemory(key).changedAt >= SETTLE_TIME,
+    isSettled: (key) => timers.now() - getHistory(key).changedAt >= SETTLE_TIME,
     isGapDue(key, hasGap) {
       const now = timers.now();
-      const memory = getMemory(key);
-      const gapSince = hasGap ? (memory.gapSince ?? now) : null;
-      memories.set(key, { ...memory, gapSince });
-      const patience = isLeavingOnly(memory) ? LEAVING_PATIENCE : GAP_PATIENCE;
-      // Entries that come back one by one after a cut must not be cut anew without the others.
-      const isComing = now - memory.addedAt < SETTLE_TIME;
-      return gapSince !== null && !isComing && now - gapSince >= patience;
+      const history = getHistory(key);
+      const gapSince = hasGap ? (history.gapSince ?? now) : null;
+      histories.set(key, { ...history, gapSince });
+      const grace = isLeavingOnly(history) ? LEAVING_GRACE : GAP_GRACE;
+      // After a partition entries return one by one; replanning must wait until all of them are back.
+      const isRegistering = now - history.addedAt < SETTLE_TIME;
+      return gapSince !== null && !isRegistering && now - gapSince >= grace;
     },
-    isLossGraceOver: (key) => timers.now() - getMemory(key).goneAt >= GAP_PATIENCE,
-    isStable: (key) => timers.now() - getMemory(key).changedAt >= TUNE_TIME,
+    isLossGraceOver: (key) => timers.now() - getHistory(key).goneAt >= GAP_GRACE,
+    isStable: (key) => timers.now() - getHistory(key).changedAt >= STABLE_TIME,
   };
 }
--- a/packages/relay/src/RelayRetryBudget.ts
+++ b/packages/relay/src/RelayRetryBudget.ts
@@ -1,4 +1,4 @@
-/** Repeats that this instance may cause: its own part of the fleet's slack, and what others lend it. */
+/** Limits the retries of this instance to its share of the fleet's slack plus the retries granted by others. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import type { AskGrant } from './RelayGrants.js';
@@ -15,22 +15,22 @@
   /** All failure domains of the deployment. */
   readonly domains: readonly DomainId[];
   readonly listInstances: () => readonly InstanceEntry[];
-  /** Whether this instance hears who is there. */
+  /** Whether the list of instances is current. */
   readonly isCurrent: () => boolean;
   readonly askGrant: AskGrant;
 }
 
 export interface RelayRetryBudget {
-  /** Repeats in a window at a service, beyond the share of this instance's own requests. */
+  /** Retries allowed at a service in a window, in addition to the share of this instance's own requests. */
   getBurst(service: string): number;
-  /** Asks others for repeats at a service; hears whether any were lent. */
+  /** Requests retries at a service from granters; `done` receives whether any were granted. */
   request(service: string, done: (isGranted: boolean) => void): void;
-  /** Lends to another instance; 0 if this one lends nothing. */
+  /** Grants retries to another instance and returns their number, which may be 0. */
   grant(service: string, wanted: number): number;
   start(): Unregister;
 }
 
-/** How often the instances among which the slack is parted are counted anew. */
+/** How often the instances that share the slack are counted. */
 const OBSERVE_PERIOD: Millis = 2000;
 
 export function createRelayRetryBudget(options: RelayRetryBudgetOptions): RelayRetryBudget {
--- a/packages/relay/src/RelayRetryShare.ts
+++ b/packages/relay/src/RelayRetryShare.ts
@@ -1,7 +1,7 @@
 /**
- * This instance's part of the fleet's slack for repeats. It is split by failure domain first, since trouble
- * comes to a domain as a whole and its answers break at its own instances, however few they are; then by
- * the domain's instances.
+ * This instance's share of the fleet's slack for retries. The slack is split evenly over the failure domains first,
+ * because a fault affects a whole domain and breaks answers at that domain's instances, however few they are. Then it
+ * is split evenly over the instances of the domain.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -10,7 +10,7 @@
 export interface RetryShareOptions {
   readonly timers: TimerService;
   readonly self: InstanceEntry;
-  /** Repeats that the whole fleet may cause in a window beyond its share of requests. */
+  /** Retries that the whole fleet may cause in a window, in addition to its share of requests. */
   readonly slack: number;
   readonly window: Millis;
   /** All failure domains of the deployment. */
@@ -19,18 +19,19 @@
 }
 
 export interface RetryShare {
-  /** Takes in who is there now; to be called a few times in a window. */
+  /** Records the currently listed instances; must be called a few times in each window. */
   observe(): void;
-  /** Repeats that this instance may cause in a window beyond its share of its own requests. */
+  /** Retries that this instance may cause in a window, in addition to the share of its own requests. */
   getBurst(): number;
 }
 
 /**
- * An instance that has left the list may still serve, for its grace of some seconds or in a cut, and what it
- * has used counts for a window more. Without this memory, those that stay took its part over at once: 314
- * repeats in ten seconds of restarts in turn, where 309 were allowed.
+ * Time for which an instance that left the list still counts. It may still serve, during its shutdown grace period of a
+ * few seconds or in a network partition, and the retries that it used count for another window. If the remaining
+ * instances took over its share at once, a rolling restart would exceed the limit: 314 retries in ten seconds, where
+ * 309 are allowed.
  */
-const MEMORY: Millis = 20_000;
+const DEPARTED_RETENTION: Millis = 20_000;
 
 export function createRetryShare(options: RetryShareOptions): RetryShare {
   const { timers, self, slack, window } = options;
@@ -43,14 +44,16 @@
       .listInstances()
       .filter(({ domain }) => domain === self.domain)
       .forEach(({ id }) => seenAt.set(id, now));
-    [...seenAt].filter(([, at]) => now - at > MEMORY).forEach(([id]) => seenAt.delete(id));
+    [...seenAt]
+      .filter(([, at]) => now - at > DEPARTED_RETENTION)
+      .forEach(([id]) => seenAt.delete(id));
   }
 
   return {
     observe,
     getBurst() {
       if (timers.now() - startedAt < window) {
-        // The process before this one may have used the part, and nobody remembers.
+        // The previous process of this instance may have used the share, and no record of that remains.
         return 0;
       }
       const domains = Math.max(1, new Set([...options.domains, self.domain]).size);
--- a/packages/relay/src/RelayServers.ts
+++ b/packages/relay/src/RelayServers.ts
@@ -1,4 +1,4 @@
-/** Chooses a backend server of a plain service: few calls on it, no failures lately, near. */
+/** Chooses a backend server of a plain service by its running calls, answer time, recent failures and domain. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, EngineId } from '@skylarksail/core/CoreTypes';
@@ -22,25 +22,25 @@
   readonly catalogue: Catalogue;
 }
 
-/** What a call in another domain weighs against one in the own: a quarter more, as its way is longer. */
-const FOREIGN_WEIGHT = 1.25;
+/** Cost of a call to another domain relative to one in the same domain: a quarter more, for the longer network path. */
+const REMOTE_DOMAIN_WEIGHT = 1.25;
 
-/** Part of a new time in the smoothed one: some ten answers are remembered. */
-const TIME_WEIGHT = 0.1;
+/** Weight of a new answer time in the moving average, which covers about ten answers. */
+const SMOOTHING_FACTOR = 0.1;
 const TIE_SPREAD = 0.1;
 
 export function createServerChooser(options: RelayServersOptions): ChooseServer {
   const { timers, random, domain, catalogue } = options;
   const running = new Map<EngineId, number>();
   const health = new Map<EngineId, EngineHealth>();
-  /** Mean time of an answer, smoothed, in ms. */
-  const times = new Map<EngineId, number>();
+  /** Moving average of the answer time, in ms. */
+  const answerTimes = new Map<EngineId, number>();
 
-  function weigh(entry: BackendEntry): number {
+  function getWeight(entry: BackendEntry): number {
     const calls = running.get(entry.id) ?? 0;
     const share = getHealthShare(health.get(entry.id) ?? NEW_HEALTH, calls, timers.now());
-    const time = times.get(entry.id) ?? 1;
-    const distance = entry.domain === domain ? 1 : FOREIGN_WEIGHT;
+    const time = answerTimes.get(entry.id) ?? 1;
+    const distance = entry.domain === domain ? 1 : REMOTE_DOMAIN_WEIGHT;
     return share > 0 ? ((calls + 1) * time * distance) / share : Infinity;
   }
 
@@ -49,26 +49,29 @@
     const now = timers.now();
     const before = health.get(id) ?? NEW_HEALTH;
     if (outcome.kind === 'answered') {
-      const known = times.get(id) ?? outcome.firstToken;
-      times.set(id, known + TIME_WEIGHT * (outcome.firstToken - known));
+      const smoothed = answerTimes.get(id) ?? outcome.firstToken;
+      answerTimes.set(id, smoothed + SMOOTHING_FACTOR * (outcome.firstToken - smoothed));
       health.set(id, recordSuccess(before, now));
     } else if (outcome.kind === 'failed' && outcome.cause !== 'refused') {
       health.set(id, recordFailure(before, true, now));
     }
     if (catalogue.get(id) === null) {
-      [running, health, times].forEach((table) => table.delete(id));
+      [running, health, answerTimes].forEach((table) => table.delete(id));
     }
   }
 
   return (service, avoid) => {
-    const open = catalogue
+    const candidates = catalogue
       .list()
       .filter(
         (entry) =>
           entry.service === service && entry.state === LifeState.Live && !avoid.includes(entry.id),
       );
-    const weighed = open.map((entry) => ({ entry, weight: weigh(entry) * tieBreak(random) }));
-    const best = weighed.reduce<(typeof weighed)[number] | null>(
+    const weighted = candidates.map((entry) => ({
+      entry,
+      weight: getWeight(entry) * drawTieBreaker(random),
+    }));
+    const best = weighted.reduce<(typeof weighted)[number] | null>(
       (a, b) => (a === null || b.weight < a.weight ? b : a),
       null,
     );
@@ -81,7 +84,7 @@
   };
 }
 
-/** Instances that know the same would all choose the same server without it. */
-function tieBreak(random: Random): number {
+/** Prevents instances with the same data from all choosing the same server. */
+function drawTieBreaker(random: Random): number {
   return 1 + TIE_SPREAD * random.nextFloat();
 }
--- a/packages/relay/src/RelayStop.ts
+++ b/packages/relay/src/RelayStop.ts
@@ -1,15 +1,15 @@
-/** A planned stop: nothing that was taken is cut off as long as the grace allows. */
+/** Planned shutdown: accepted requests are completed within the grace period. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { RelayParts } from './RelayParts.js';
 
-/** The callers' port as the stop sees it. */
+/** The callers' port, as far as the shutdown uses it. */
 export interface StoppablePort {
-  /** From now on each answer tells its caller that the connection closes. */
+  /** Announces in each answer from now on that the connection closes. */
   startClosing(): void;
-  /** No new connections; idle ones are closed. */
+  /** Accepts no more connections and closes idle ones. */
   stopAccepting(): void;
-  /** Cuts what is left. */
+  /** Closes all remaining connections. */
   close(): void;
 }
 
@@ -22,14 +22,14 @@
 }
 
 /**
- * The balancer asks for readiness once a second and takes an instance out after two misses; until then it
- * sends new connections, which are served like all others.
+ * The load balancer checks readiness once a second and removes an instance after two failed checks. Until then it sends
+ * new connections, which are served like all others.
  */
 const BALANCER_LAG: Millis = 2600;
-/** Part of the grace that is left to end by ourselves. */
+/** Part of the grace period reserved for a clean exit of the process. */
 const STOP_MARGIN: Millis = 400;
 
-/** Stops; resolves when all that was taken has its end, or the grace has. */
+/** Shuts down; resolves when all accepted requests have ended or the grace period is over. */
 export async function stopRelay({ timers, parts, port, grace }: RelayStopOptions): Promise<void> {
   parts.startLeaving();
   port.startClosing();
--- a/packages/relay/src/RelayTuning.ts
+++ b/packages/relay/src/RelayTuning.ts
@@ -1,31 +1,31 @@
-/** How the router and the choice of chains are set for these deployments, each figure with its reason. */
+/** Settings of the router and of chain selection for deployments of the relay. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { LimitConfig } from '@skylarksail/requests/RequestLimits';
 import type { SilenceConfig } from '@skylarksail/requests/RequestPace';
 import type { RouterConfig } from '@skylarksail/requests/RouterTypes';
 import { DEFAULT_ROUTER_CONFIG } from '@skylarksail/requests/RouterTypes';
 
-/** Bounds that the deployment sets for the whole fleet. */
+/** Limits that the deployment sets for the whole fleet. */
 export interface RelayBounds {
-  /** Repeated arrivals at a service, as a share of its requests, that the whole fleet may cause. */
+  /** Retries that the whole fleet may cause at a service, as a share of its requests. */
   readonly retryShare: number;
-  /** Repeated arrivals beyond that share, for the whole fleet. */
+  /** Retries that the whole fleet may cause in addition to that share. */
   readonly retrySlack: number;
-  /** Any span of this length, in ms, is to be kept within both. */
+  /** Length of the sliding window, in ms, within which both limits apply. */
   readonly retryWindow: Millis;
 }
 
-/** A part of the fleet's retries stays unused: instances may count each other late. */
+/** Share of the fleet's retries that is used; the rest is a margin because instances may count each other late. */
 export const RETRY_SAFETY_FACTOR = 0.9;
 /**
- * Part of the slack for repeats that lies in pools and is lent where it is needed. The rest is held by all
- * instances alike, for the time in which nobody lends: in a cut, and for fifteen seconds after a granter is lost.
+ * Share of the slack for retries that is kept in pools and granted on request. The rest is split evenly over all
+ * instances, for times without a granter: in a network partition, and for fifteen seconds after a granter is lost.
  */
 export const POOL_SHARE = 0.6;
 /**
- * An answer that is moved pauses for longer than is on time, so a chain is given up only when it is most
- * likely dead, and soon enough for the rest to come before the caller leaves, two seconds after the last
- * event. Lower bounds would move answers whenever sound engines read long prompts.
+ * Moving an answer to another chain pauses it for longer than its latency goal allows. So a chain is abandoned only
+ * when it is most likely dead, but early enough for the answer to resume before the caller leaves, two seconds after
+ * the last event. Lower bounds would move answers whenever healthy engines process long prompts.
  */
 const SILENCE: SilenceConfig = {
   acknowledgement: { least: 350, most: 3000 },
@@ -35,9 +35,9 @@
   leastSlowGap: 150,
 };
 /**
- * Engines bound what runs, by memory and by the requests that they take at once; they refuse what is too
- * much before it has run. A limit that falls with late events would refuse requests that engines have room for
- * whenever one domain's answers are held up by a fault.
+ * A fixed concurrency limit. Engines limit running requests themselves, by memory and by concurrent requests, and
+ * refuse excess requests before they run. An adaptive limit that falls when events are late would refuse requests that
+ * engines have capacity for whenever a fault delays the answers of one domain.
  */
 const LIMITS: LimitConfig = {
   initial: 1024,
@@ -47,20 +47,21 @@
   firstTokenTarget: 2000,
 };
 /**
- * Answers come to a fifth of what is allowed, as events hold two tokens. Reckoned at their full length, requests of
- * a sound fleet would be refused as too late for their deadline.
+ * Answers take up a fifth of the tokens that requests allow, because events hold two tokens. If the full length were
+ * assumed, a healthy fleet would refuse requests as unable to meet their deadline.
  */
 const LENGTH_SHARE = 0.2;
-/** A dead engine's entry lapses after three heartbeats of 1.2 s; until then its chain is kept off. */
+/** The entry of a dead engine expires after three heartbeats of 1.2 s; until then its chain is avoided. */
 const DOUBT_TIME: Millis = 4000;
-/** Chains are filled by memory and not by pace; other domains lend all that they have. */
+/** Chains are filled up to their memory, not to a token rate, and other domains may be used at full capacity. */
 export const ROUTING_TUNING = {
   tokenGapMs: 150,
   crossDomainShare: 3,
   isOwnDoubted: true,
   doubtTime: DOUBT_TIME,
 };
-/** Settings of the router under the deployment's bounds. */
+
+/** Creates the settings of the router for the deployment's limits. */
 export function createRouterConfig({ retryShare, retryWindow }: RelayBounds): RouterConfig {
   return {
     ...DEFAULT_ROUTER_CONFIG,
--- a/packages/relay/src/RelayTypes.ts
+++ b/packages/relay/src/RelayTypes.ts
@@ -1,4 +1,4 @@
-/** What the relay is told of backend servers and instances, and what it exchanges with its adapters. */
+/** Entries of backend servers and instances, store contents, and the types exchanged with adapters. */
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import type {
   DomainId,
@@ -16,45 +16,45 @@
 
 /** A backend server as it registered itself. */
 export interface BackendEntry {
-  /** Names one life of the server; a restart has another, also under the same name. */
+  /** Identifies one incarnation of the server; a restart under the same name gets a new id. */
   readonly id: EngineId;
   /** The name under which it is registered. */
   readonly server: string;
-  /** When this life began, in Unix ms; null where the server does not say. */
+  /** Start time of this incarnation, in Unix ms; null if the server does not report it. */
   readonly born: number | null;
   readonly service: ServiceId;
   readonly address: HostPort;
   readonly domain: DomainId;
   readonly state: LifeStateName;
-  /** Kind of accelerator; null at a plain service. */
+  /** Kind of accelerator; null for a plain service. */
   readonly accelerator: string | null;
-  /** Layers that it serves now; null if it holds none. */
+  /** Layers that it currently serves; null if it holds none. */
   readonly layers: LayerRange | null;
 }
 
-/** An entry instance as it registered itself. */
+/** An instance as it registered itself. */
 export interface InstanceEntry {
   readonly id: InstanceId;
   readonly domain: DomainId;
-  /** Where it answers its peers; null if it does not. */
+  /** Address for requests of its peers; null if it accepts none. */
   readonly address: HostPort | null;
 }
 
-/** What a key of the store holds, told by the adapter that knows how the store is laid out. */
+/** Content of a store key, decoded by the adapter that knows the layout of the store. */
 export type StoreContent =
   | { readonly kind: 'config'; readonly config: RouteConfig }
   | { readonly kind: 'backend'; readonly entry: BackendEntry }
-  /** The entry of a backend server that cannot be read: it names no server to use. */
+  /** An entry of a backend server that cannot be decoded and so provides no usable server. */
   | { readonly kind: 'unreadable'; readonly server: string; readonly reason: string }
   | { readonly kind: 'other' };
 
-/** Reads a key's content; throws what its own layer defines if it makes no sense. */
+/** Decodes the content of a store key; throws an error type of the adapter if it is invalid. */
 export type ReadContent = (item: StoreItem) => StoreContent;
 
-/** The name of the backend server whose entry a key is, or null for any other key. */
+/** Returns the name of the backend server whose entry is stored at a key; null for any other key. */
 export type ReadBackendKey = (key: string) => string | null;
 
-/** A caller's request, read whole. */
+/** A caller's request with its complete body. */
 export interface RelayCall {
   readonly id: RequestId;
   readonly host: string;
@@ -62,33 +62,33 @@
   /** Path with its query, as sent. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
-  /** What the caller showed as its key, or null. */
+  /** Key that the caller presented; null if none. */
   readonly key: string | null;
-  /** How long the caller will wait from now on; null if it did not say. */
+  /** Remaining time that the caller will wait; null if not specified. */
   readonly timeLeft: Millis | null;
   readonly body: Uint8Array;
-  /** Size of the work, where the caller told it. */
+  /** Size of the work in tokens, if the caller specified it. */
   readonly promptTokens: number;
   readonly maxTokens: number;
 }
 
-/** Why a request is answered by us and not by an engine. */
+/** An error answer from this instance, not from a backend server. */
 export interface RelayRefusal {
   readonly status: 400 | 401 | 404 | 502 | 503 | 504;
-  /** When to come back, for a request that has not run. */
+  /** Delay after which to retry a request that has not run; null if none is suggested. */
   readonly retryAfter: Millis | null;
   readonly reason: string;
 }
 
-/** Hears of one call. One of `onAnswer`, `onEnd`, `onBroken` and `onRefused` comes last, once. */
+/** Receives the events of one call. The last event is exactly one answer, stream end, stream abort or refusal. */
 export interface RelayListener {
-  /** A stream begins; events follow. */
+  /** A stream starts; events follow. */
   onHead(head: AnswerHead): void;
-  /** A whole event, as the engine wrote it, a character a byte. */
+  /** A complete event as the engine sent it, one character for each byte. */
   onEvent(event: string): void;
-  /** The stream is whole. */
+  /** The stream is complete. */
   onEnd(): void;
-  /** The stream ends early and must not look complete. */
+  /** The stream ended early and must not appear complete to the caller. */
   onAborted(): void;
   onAnswer(answer: ServiceAnswer): void;
   onRefused(refusal: RelayRefusal): void;
--- a/packages/relay/src/RelayView.ts
+++ b/packages/relay/src/RelayView.ts
@@ -1,16 +1,16 @@
-/** What adapters of calls may ask of the catalogue and the configuration. */
+/** Gives the adapters of backend calls read access to the catalogue and the configuration. */
 import type { HostPort } from '@skylarksail/core/CoreTypes';
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import type { Catalogue } from './RelayCatalogue.js';
 import type { BackendView } from './RelayPorts.js';
 import type { BackendEntry } from './RelayTypes.js';
 
-/** Connections are limited for all instances together; so many are reckoned with before they are seen. */
-const INSTANCES_ASSUMED = 6;
-/** A part stays free for instances that start again before their former connections are gone. */
+/** All instances share a service's connection limit; at least this many are assumed, as some may not be known yet. */
+const MIN_ASSUMED_INSTANCES = 6;
+/** Share of the limit that is used; the rest is reserved for restarted instances with old connections still open. */
 const CONNECTION_SHARE = 0.9;
-/** With one, a caller of an engine would wait for the answer of another. */
-const LEAST_CONNECTIONS = 2;
+/** With a single connection, one answer would block all other requests to the engine (head-of-line blocking). */
+const MIN_CONNECTIONS = 2;
 
 export function createBackendView(
   catalogue: Catalogue,
@@ -30,9 +30,9 @@
     getHealthPath: (service) => getTable()?.findService(service)?.healthPath ?? null,
     getMaxConnections: (address) => {
       const service = findEntry(address)?.service ?? '';
-      const most = getTable()?.findService(service)?.maxConnections ?? 0;
-      const instances = Math.max(INSTANCES_ASSUMED, countInstances());
-      return Math.max(LEAST_CONNECTIONS, Math.floor((most * CONNECTION_SHARE) / instances));
+      const maxConnections = getTable()?.findService(service)?.maxConnections ?? 0;
+      const instances = Math.max(MIN_ASSUMED_INSTANCES, countInstances());
+      return Math.max(MIN_CONNECTIONS, Math.floor((maxConnections * CONNECTION_SHARE) / instances));
     },
   };
 }
--- a/packages/relay/src/RelayWork.ts
+++ b/packages/relay/src/RelayWork.ts
@@ -1,13 +1,15 @@
 /**
- * What the instances of a failure domain have running on its engines. Each tells its own work to the domain's
- * aggregators with every question for news, and hears the sum of the others' with the answer. Reckoned from its own
- * work alone, an instance of 39 with one or two requests took an engine to have none or 39: in a burst on engines
- * that are 84 % full 4 of 100 arrivals met a full one, 2 with the others' work told each 200 ms (virtual time).
+ * Shares between the instances of a failure domain how much work each has on the domain's engines. Every update
+ * query to an aggregator reports the instance's own work, and the answer carries the sum of the other instances' work.
+ *
+ * Without these reports an instance extrapolates from its own work: in a domain of 39 instances, one with one or two
+ * requests estimates the load of an engine as 0 or 39 requests. In a burst on engines at 84 % of their capacity, 4 of
+ * 100 arrivals then met a full engine; with reports every 200 ms it was 2 of 100 (simulated in virtual time).
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 
-/** Work on one engine. */
+/** Running work of one or more instances on an engine. */
 export interface EngineWork {
   readonly engine: EngineId;
   readonly calls: number;
@@ -15,24 +17,24 @@
   readonly kvTokens: number;
 }
 
-/** Work on an engine that is known from the context. */
+/** The same for an engine that is known from the context. */
 export type PeerWork = Omit<EngineWork, 'engine'>;
 
-/** What an instance tells of engines, or an aggregator of those of the whole domain. */
+/** A report of running work and lost engines, from an instance about itself or from an aggregator about its domain. */
 export interface WorkReport {
   readonly running: readonly EngineWork[];
-  /** Engines that calls failed at, and that did not answer well when they were asked then. */
+  /** Engines at which calls failed and that then failed a health check. */
   readonly lost: readonly EngineId[];
 }
 
 export interface RelayWork {
-  /** An instance told its work. */
+  /** Records an instance's report of its own work. */
   recordReport(from: InstanceId, work: WorkReport): void;
-  /** What this instance and all that told it have, but for the one that asks. */
-  summarizeFor(asker: InstanceId): WorkReport;
-  /** An aggregator told what the others have. */
+  /** Sums this instance's own work and all recorded reports except the requester's. */
+  summarizeFor(requester: InstanceId): WorkReport;
+  /** Records an aggregator's summary of the other instances' work. */
   recordSummary(others: WorkReport): void;
-  /** Work of the others on an engine; null if nobody told of it lately. */
+  /** Work of the other instances on an engine; null without a recent report. */
   getPeerWork(engine: EngineId): PeerWork | null;
 }
 
@@ -40,83 +42,85 @@
   readonly timers: TimerService;
   readonly self: InstanceId;
   readonly readOwnWork: () => WorkReport;
-  /** Whether the others tell this instance, and not an aggregator. */
+  /** Whether this instance is an aggregator, so that others report to it. */
   readonly isAggregator: () => boolean;
-  /** An aggregator told of the others anew. */
+  /** Called after an aggregator's summary was recorded. */
   readonly onPeerWork: () => void;
   /**
-   * Others found an engine lost. Without this word each instance would send it requests of its own to find out, and
-   * spend its few repeats on them.
+   * Called for each engine that other instances report as lost. Otherwise each instance would notice the loss only
+   * by failed requests of its own, and would spend its few retries on them.
    */
   readonly onLost: (engine: EngineId) => void;
 }
 
-/** Answers take some two seconds: what was told longer ago has ended for the most part. */
-const LONGEST_AGE: Millis = 3000;
+/** Answers take about two seconds, so most of the work in an older report has ended. */
+const MAX_REPORT_AGE: Millis = 3000;
 const NO_WORK = { calls: 0, kvTokens: 0 };
 
-interface DatedWork {
+interface TimedReport {
   readonly work: WorkReport;
   readonly at: Millis;
 }
 
 export function createRelayWork(options: RelayWorkOptions): RelayWork {
   const { timers, self } = options;
-  const told = new Map<InstanceId, DatedWork>();
-  let heard: { readonly others: ReadonlyMap<EngineId, EngineWork>; readonly at: Millis } | null =
-    null;
-  let sums: { readonly others: ReadonlyMap<EngineId, EngineWork>; readonly at: Millis } | null =
+  const told = new Map<InstanceId, TimedReport>();
+  let summary: { readonly others: ReadonlyMap<EngineId, EngineWork>; readonly at: Millis } | null =
     null;
+  let cachedSums: {
+    readonly others: ReadonlyMap<EngineId, EngineWork>;
+    readonly at: Millis;
+  } | null = null;
 
   function isFresh(at: Millis): boolean {
-    return timers.now() - at <= LONGEST_AGE;
+    return timers.now() - at <= MAX_REPORT_AGE;
   }
 
-  function forgetOld(): void {
+  function dropExpiredReports(): void {
     [...told].filter(([, { at }]) => !isFresh(at)).forEach(([id]) => told.delete(id));
   }
 
-  function listTold(asker: InstanceId): readonly WorkReport[] {
-    return [...told].flatMap(([id, { work }]) => (id === asker ? [] : [work]));
+  function listReports(requester: InstanceId): readonly WorkReport[] {
+    return [...told].flatMap(([id, { work }]) => (id === requester ? [] : [work]));
   }
 
-  /** At an aggregator the others' work is what they told it. */
-  function sumTold(): ReadonlyMap<EngineId, EngineWork> | null {
-    if (sums === null || sums.at !== timers.now()) {
-      forgetOld();
-      sums = {
-        others: sumWork(listTold(self).flatMap(({ running }) => running)),
+  /** The other instances' work by their reports to this aggregator; null without a report. */
+  function sumReports(): ReadonlyMap<EngineId, EngineWork> | null {
+    if (cachedSums === null || cachedSums.at !== timers.now()) {
+      dropExpiredReports();
+      cachedSums = {
+        others: sumWork(listReports(self).flatMap(({ running }) => running)),
         at: timers.now(),
       };
     }
-    return told.size > 0 ? sums.others : null;
+    return told.size > 0 ? cachedSums.others : null;
   }
 
-  function getHeard(): ReadonlyMap<EngineId, EngineWork> | null {
-    return heard !== null && isFresh(heard.at) ? heard.others : null;
+  function getSummary(): ReadonlyMap<EngineId, EngineWork> | null {
+    return summary !== null && isFresh(summary.at) ? summary.others : null;
   }
 
   return {
     recordReport(from, work) {
       told.set(from, { work, at: timers.now() });
-      sums = null;
+      cachedSums = null;
       work.lost.forEach(options.onLost);
     },
-    summarizeFor(asker) {
-      forgetOld();
-      const all = [...listTold(asker), options.readOwnWork()];
+    summarizeFor(requester) {
+      dropExpiredReports();
+      const all = [...listReports(requester), options.readOwnWork()];
       return {
         running: [...sumWork(all.flatMap(({ running }) => running)).values()],
         lost: [...new Set(all.flatMap(({ lost }) => lost))],
       };
     },
     recordSummary(others) {
-      heard = { others: sumWork(others.running), at: timers.now() };
+      summary = { others: sumWork(others.running), at: timers.now() };
       options.onPeerWork();
       others.lost.forEach(options.onLost);
     },
     getPeerWork(engine) {
-      const others = options.isAggregator() ? sumTold() : getHeard();
+      const others = options.isAggregator() ? sumReports() : getSummary();
       return others === null ? null : (others.get(engine) ?? NO_WORK);
     },
   };
--- a/packages/relay/src/__tests__/unit/RelayCatalogue.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayCatalogue.test.ts
@@ -5,29 +5,28 @@
 import type { BackendEntry } from '../../RelayTypes.js';
 import { createBackend } from './RelayFixtures.js';
 
-/** A life of server `a` that began at `born`. */
-function createLife(born: number, change: Partial<BackendEntry>): BackendEntry {
+/** An incarnation of server `a` that started at `born`. */
+function createIncarnation(born: number, change: Partial<BackendEntry>): BackendEntry {
   const life = { server: 'a', born };
   return createBackend(createIncarnationId(life), { ...life, ...change });
 }
 
 describe('RelayCatalogue', () => {
-  it('drops a removed server at once while the store is well', () => {
+  it('removes a server at once while the store is reachable', () => {
     const catalogue = createCatalogue(createVirtualTimers());
     catalogue.put(createBackend('a'));
     catalogue.remove('a');
     expect(catalogue.list()).to.deep.equal([]);
   });
 
-  it('gives entries that lapsed in an outage two seconds to come back, and no more', () => {
-    // Symptom: no engine is known, and every request refused, just when the store is back.
-    // Sequence: the store is out for longer than entries stand; at its return all have lapsed.
-    // Cause: a lapsed entry is taken for a server that is gone.
+  it('keeps entries that lapsed in an outage for a grace period of two seconds', () => {
+    // Guards against refusing every request when the store recovers. An outage longer than the entries' leases
+    // makes all entries lapse, and servers whose entries lapsed were removed at once.
     const timers = createVirtualTimers();
     const catalogue = createCatalogue(timers);
-    let told = 0;
+    let notifications = 0;
     catalogue.registerListener(() => {
-      told += 1;
+      notifications += 1;
     });
     ['a', 'b'].forEach((id) => catalogue.put(createBackend(id)));
     timers.advanceTo(9000);
@@ -36,21 +35,21 @@
     expect(catalogue.list()).to.have.length(2);
     timers.advanceTo(9000 + LAPSED_ENTRY_GRACE / 2);
     catalogue.put(createBackend('b'));
-    const before = told;
+    const before = notifications;
     timers.advanceTo(9000 + LAPSED_ENTRY_GRACE + 1);
     expect(catalogue.list().map(({ id }) => id)).to.deep.equal(['b']);
-    expect(told).to.equal(before + 1);
+    expect(notifications).to.equal(before + 1);
   });
 
-  it('knows a server that started again as another, and hears nothing late of its earlier life', () => {
-    // Symptom: requests are sent to layers that are not there, and refused, until the engine is placed anew.
-    // Sequence: an engine starts again under its name; then a late entry, a peer's sighting or a removal of its
-    // earlier life arrives.
-    // Cause: what is known hangs on the name alone, so the earlier life's layers come back.
+  it('treats a restarted server as a new one and ignores delayed updates of its earlier incarnation', () => {
+    // Guards against sending requests to layers that a restarted engine no longer holds, which it refuses until its
+    // layers are placed again. The engine restarts under the same name; then a delayed entry of its earlier
+    // incarnation, a peer's observation of it or its removal arrives. State that is keyed by name alone would restore
+    // the earlier incarnation's layers.
     const timers = createVirtualTimers();
     const catalogue = createCatalogue(timers);
-    const earlier = createLife(1000, { layers: { first: 0, end: 2 } });
-    const later = createLife(2000, { layers: null });
+    const earlier = createIncarnation(1000, { layers: { first: 0, end: 2 } });
+    const later = createIncarnation(2000, { layers: null });
     catalogue.put(earlier);
     catalogue.put(later);
     expect(catalogue.get(earlier.id)).to.equal(null);
@@ -58,7 +57,7 @@
     catalogue.put(earlier);
     catalogue.observe({ ...earlier, state: 'leaving' });
     expect(catalogue.list()).to.deep.equal([later]);
-    const latest = createLife(3000, { layers: null });
+    const latest = createIncarnation(3000, { layers: null });
     catalogue.observe(latest);
     catalogue.put(later);
     expect(catalogue.list()).to.deep.equal([latest]);
@@ -66,7 +65,7 @@
     expect(catalogue.list()).to.deep.equal([]);
   });
 
-  it('drops a server whose entry cannot be read at once, also when others may come back', () => {
+  it('removes a server at once if its entry cannot be parsed, even within the grace period', () => {
     const timers = createVirtualTimers();
     const catalogue = createCatalogue(timers);
     ['a', 'b'].forEach((id) => catalogue.put(createBackend(id)));
@@ -78,7 +77,7 @@
     expect(catalogue.list()).to.have.length(2);
   });
 
-  it('tells of no server of a service that is not in use, until it is', () => {
+  it('omits servers of a service until the service is in use', () => {
     let isServed = false;
     const catalogue = createCatalogue(createVirtualTimers(), () => isServed);
     catalogue.put(createBackend('a'));
@@ -87,10 +86,10 @@
     expect(catalogue.get('a')).to.include({ id: 'a' });
   });
 
-  it('holds what was seen of a server until the store tells of it, or its return is over', () => {
-    // Symptom: after an outage an engine that is well gets no work, or one is asked for layers that it gave up.
-    // Sequence: an instance sees by itself that engines leave or move; the store comes back.
-    // Cause: what was seen stands beside the entries for ever, or goes before the entries are written anew.
+  it('keeps an observation until the store has a new entry or the grace period ends', () => {
+    // Guards against two failures after an outage: a healthy engine gets no work, or requests go to an engine for
+    // layers that it has released. An instance observes directly that engines leave or change layers, and then the
+    // store recovers. Observations must be cleared then, but not before the servers have written their entries again.
     const timers = createVirtualTimers();
     const catalogue = createCatalogue(timers);
     ['a', 'b'].forEach((id) => catalogue.put(createBackend(id)));
--- a/packages/relay/src/__tests__/unit/RelayEngines.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayEngines.test.ts
@@ -41,11 +41,10 @@
 }
 
 describe('RelayEngines', () => {
-  it('plans no domain anew while its engines stay as they are', async () => {
-    // Symptom: an instance with nothing to do takes 2 % of a core beside 200 engines, and 195 of them together
-    // more than the machine that plays them has.
-    // Sequence: nothing happens; the work of others is reckoned anew each second.
-    // Cause: each engine's facts are made anew with it, which reads as a change of every engine.
+  it('does not plan a domain again while its engines are unchanged', async () => {
+    // Guards against idle instances that use processor time: 2 % of a core each with 200 engines, so that 195 simulated
+    // instances exceed their machine. The load is recalculated every second; if that also creates new facts, routing
+    // sees every engine as changed and plans all domains again.
     const { timers, catalogue, routing } = createBed();
     await timers.advanceToAsync(2000);
     const before = routing.getState().plans;
@@ -59,7 +58,7 @@
     expect(routing.getState().plans.get(other)).to.equal(before.get(other));
   });
 
-  it('reckons with the work of others as told, and with a multiple of its own only where nobody tells', () => {
+  it('uses reported work of other instances, and a multiple of its own work only without reports', () => {
     const { routing, engines, others } = createBed();
     const getRunning = (): readonly (number | undefined)[] =>
       ['d1-0', 'd1-4', 'd2-0'].map((id) => routing.getState().loads.get(id)?.load.running);
@@ -72,7 +71,7 @@
     expect(getRunning()).to.deep.equal([7, 0, 9]);
   });
 
-  it('tells routing of engines without work often enough that none is taken for silent', async () => {
+  it('reports engines without work to routing often enough that none counts as silent', async () => {
     const { timers, routing, engines, others } = createBed();
     others.set('d1-0', { calls: 7, kvTokens: 100 });
     for (let at = 100; at <= 20_000; at += 100) {
@@ -80,13 +79,13 @@
       engines.refreshOwnLoads();
       expect([...routing.getState().silent]).to.deep.equal([]);
     }
-    // Work that ends is told of at once.
+    // The end of work is reported at once.
     others.clear();
     engines.refreshOwnLoads();
     expect(routing.getState().loads.get('d1-0')?.load.running).to.equal(0);
   });
 
-  it('says that a domain is crowded once one of its engines is near its limit, and not before', () => {
+  it('reports the own domain as crowded only if one of its engines is near its limit', () => {
     const { engines, others } = createBed();
     expect(engines.isCrowded()).to.equal(false);
     for (const [calls, kvTokens, isCrowded] of [
@@ -104,7 +103,7 @@
     expect(engines.isCrowded()).to.equal(false);
   });
 
-  it('forgets engines that are gone', () => {
+  it('removes engines that are gone from routing', () => {
     const { catalogue, routing, engines } = createBed();
     catalogue.remove('d1-0');
     engines.refresh();
--- a/packages/relay/src/__tests__/unit/RelayFixtures.ts
+++ b/packages/relay/src/__tests__/unit/RelayFixtures.ts
@@ -1,4 +1,4 @@
-/** Backend servers and configurations for the tests of the relay. */
+/** Creates backend servers and configurations for tests of the relay. */
 import type { PipelineFacts, Route, RouteConfig } from '@skylarksail/routes/RouteTypes';
 import type { BackendEntry } from '../../RelayTypes.js';
 
@@ -17,7 +17,7 @@
   };
 }
 
-/** Eight layers; a small engine holds five of them beside little else. */
+/** Eight layers; a small engine has memory for five of them and little else. */
 export const PIPELINE: PipelineFacts = {
   layers: 8,
   layerBytes: 100,
--- a/packages/relay/src/__tests__/unit/RelayGrants.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayGrants.test.ts
@@ -14,18 +14,18 @@
 const DOMAINS = ['d0', 'd1', 'd2'];
 const PER_DOMAIN = 8;
 const SERVICE = 'letters';
-/** An instance is listed for so long after its end. */
+/** Time for which an instance stays listed after its process ends. */
 const LEASE = 6000;
-const LONGEST_LAG = 1500;
+const MAX_LAG = 1500;
 const STEP = 100;
 
-/** A process that lives, with its own late view of who is there. */
+/** A running process with its own delayed list of instances. */
 interface Process {
   readonly entry: InstanceEntry;
   readonly grants: RelayGrants;
   readonly lag: number;
-  isHearing: boolean;
-  /** Takes a repeat if it may. */
+  isCurrent: boolean;
+  /** Uses a retry if the budget allows one; returns whether it did. */
   take(): boolean;
   observe(): void;
 }
@@ -53,7 +53,7 @@
     const id = `${domain}-${started}`;
     started += 1;
     const entry = { id, domain, address: { host: '127.0.0.1', port: started } };
-    const lag = random.nextInt(LONGEST_LAG);
+    const lag = random.nextInt(MAX_LAG);
     listed.push({ entry, from: timers.now(), until: Infinity });
     const listInstances = (): readonly InstanceEntry[] => listAt(timers.now() - lag);
     const share = createRetryShare({
@@ -70,8 +70,8 @@
       window: WINDOW,
       poolSize: (SLACK * POOL_SHARE) / DOMAINS.length,
       listInstances,
-      isCurrent: () => processes.get(id)?.isHearing ?? false,
-      // Questions and answers are lost now and then.
+      isCurrent: () => processes.get(id)?.isCurrent ?? false,
+      // Some requests and answers are lost.
       askGrant: async (peer, service, wanted) => {
         const asked = random.nextInt(20) > 0 ? processes.get(peer.id) : undefined;
         const granted = asked?.grants.grant(service, wanted) ?? 0;
@@ -83,7 +83,7 @@
       entry,
       grants,
       lag,
-      isHearing: true,
+      isCurrent: true,
       take() {
         const burst = share.getBurst() + grants.count(SERVICE);
         const next = takeRetry(setBurst(budget, burst), timers.now());
@@ -112,7 +112,7 @@
   return { timers, processes, taken, start, kill };
 }
 
-function countMost(taken: readonly number[]): number {
+function countBusiestWindow(taken: readonly number[]): number {
   return Math.max(
     0,
     ...taken.map((from) => taken.filter((at) => at >= from && at < from + WINDOW).length),
@@ -120,10 +120,10 @@
 }
 
 describe('RelayGrants', () => {
-  it('gives one instance in trouble most of its domain’s pool, and of others’', async () => {
-    // Symptom: requests are refused for want of the retry budget while the fleet has used a tenth of it.
-    // Sequence: nine engines end together; their answers break at a few instances.
-    // Cause: the slack is parted over all instances, whether they need it or not.
+  it('grants most of its own domain’s pool and of other pools to a single instance that needs retries', async () => {
+    // Guards against requests refused for lack of retry budget while the fleet has used only a tenth of it: nine
+    // engines end together, their answers break at a few instances, and the slack is split over all instances
+    // regardless of need.
     const { timers, processes, taken } = createFleet(createRandom(1));
     for (let at = STEP; at <= 20_000; at += STEP) {
       await timers.advanceToAsync(at);
@@ -136,15 +136,15 @@
         await timers.advanceToAsync(timers.now() + 20);
       }
     }
-    const parted = SLACK / (DOMAINS.length * PER_DOMAIN);
-    expect(taken.length).to.be.greaterThan(4 * parted);
+    const equalShare = SLACK / (DOMAINS.length * PER_DOMAIN);
+    expect(taken.length).to.be.greaterThan(4 * equalShare);
   });
 
-  it('keeps the fleet within its slack in every window, whoever ends, restarts, or hears late', async () => {
-    // Symptom: more repeats than the fleet may cause in ten seconds.
-    // Sequence: granters are killed and come back under other names; some hear nothing for a while; lists are late;
-    // questions and answers are lost; everybody wants repeats all the time.
-    // Cause: two granters of one domain, or one that does not know what the one before it has granted.
+  it('keeps the fleet within its slack in every window despite kills, restarts and stale instances', async () => {
+    // Guards against more retries in ten seconds than the fleet may cause, due to two granters in one domain or a
+    // granter that does not know what its predecessor granted. Granters are killed and return under other names, some
+    // get no updates for a while, lists are delayed, requests and answers are lost, and all instances constantly need
+    // retries.
     for (let seed = 1; seed <= 12; seed++) {
       const random = createRandom(seed);
       const { timers, processes, taken, start, kill } = createFleet(random);
@@ -157,21 +157,21 @@
             timers.registerTimeout(1000, () => start(process.entry.domain));
           }
           if (random.nextInt(400) === 0) {
-            process.isHearing = false;
+            process.isCurrent = false;
             timers.registerTimeout(random.nextInt(8000), () => {
-              process.isHearing = true;
+              process.isCurrent = true;
             });
           }
           while (process.take());
           process.grants.request(SERVICE, () => undefined);
         }
       }
-      expect(countMost(taken), `seed ${seed}`).to.be.at.most(SLACK);
+      expect(countBusiestWindow(taken), `seed ${seed}`).to.be.at.most(SLACK);
       expect(taken.length).to.be.greaterThan(SLACK);
     }
   });
 
-  it('grants nothing before a granter before it can have no grants out any longer', async () => {
+  it('grants nothing until all grants of the previous granter have expired', async () => {
     const { timers, processes, kill } = createFleet(createRandom(3));
     const countGranted = (): number =>
       [...processes.values()]
--- a/packages/relay/src/__tests__/unit/RelayHealth.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayHealth.test.ts
@@ -22,7 +22,7 @@
   const health = new Map<string, HealthAnswer>();
   const layers = new Map<string, LayerRange>();
   const asked: string[] = [];
-  let isBlind = true;
+  let isIsolated = true;
   const well: string[] = [];
   let delay = 1;
   RANGES.forEach((range, i) => catalogue.put(createBackend(`e${i}`, { layers: range })));
@@ -47,13 +47,13 @@
         );
       },
     },
-    isIsolated: () => isBlind,
+    isIsolated: () => isIsolated,
     onHealthy: (engine) => well.push(engine),
     onUnhealthy: () => undefined,
   });
   let listener: EngineCallListener | null = null;
-  const open = watch.watchCalls((_call, heard) => {
-    listener = heard;
+  const open = watch.watchCalls((_call, wrapped) => {
+    listener = wrapped;
     return () => undefined;
   });
   const stages = RANGES.map((range, i) => ({ engine: `e${i}`, layers: range }));
@@ -88,18 +88,17 @@
     setDelay: (next: number) => {
       delay = next;
     },
-    setBlind: (next: boolean) => {
-      isBlind = next;
+    setIsolated: (next: boolean) => {
+      isIsolated = next;
     },
   };
 }
 
 describe('RelayHealth', () => {
-  it('takes an engine that answers well for alive, but not for staying if its entry said so since', async () => {
-    // Symptom: requests go to an engine that said seconds ago that it leaves.
-    // Sequence: a call fails at an engine; it is asked, and answers well; before that answer is here its entry
-    // says that it leaves.
-    // Cause: the older answer replaced what the newer entry said.
+  it('keeps a newer leaving state when an older healthy answer arrives', async () => {
+    // Guards against requests to an engine that announced seconds ago that it leaves. A call fails and the engine
+    // answers a probe as healthy; before that answer arrives, the entry changes to leaving, and the older answer
+    // overwrites it.
     const bed = createBed();
     bed.setDelay(100);
     bed.fail('e1');
@@ -111,10 +110,10 @@
     expect(bed.catalogue.get('e1')).to.include({ state: 'leaving' });
   });
 
-  it('finds an engine that leaves while the store is out, and follows the layers of the others', async () => {
-    // Symptom: a domain refuses everything until the store is back, eight seconds later.
-    // Sequence: the store is out; an engine of the domain begins to leave and refuses new work.
-    // Cause: only the store's entries said which engines leave and what each holds.
+  it('detects a leaving engine during a store outage and tracks the layers of the others', async () => {
+    // Guards against a domain that refuses all requests until the store is back, eight seconds later. During the outage
+    // an engine starts to leave and refuses new work, but only entries in the store show which engines leave and which
+    // layers each holds.
     const bed = createBed();
     bed.health.set('e1', { kind: 'leaving' });
     bed.layers.set('e0', { first: 0, end: 8 });
@@ -127,12 +126,11 @@
     expect(bed.asked.some((what) => what.endsWith('far'))).to.equal(false);
   });
 
-  it('finds a dead engine well before its entry lapses, and leaves layers to the store', async () => {
-    // Symptom: a domain whose engine died has no chain for six seconds.
-    // Sequence: an engine falls silent; its entry stands for three heartbeats; then it is waited for.
-    // Cause: only the lapse of its entry told of its end.
+  it('detects a dead engine well before its entry expires, and takes layers from the store', async () => {
+    // Guards against a domain without a chain for six seconds after an engine died, if only the expiry of its entry
+    // shows that: the entry stays for three heartbeats, and then a grace period for its return follows.
     const bed = createBed();
-    bed.setBlind(false);
+    bed.setIsolated(false);
     bed.health.set('e1', { kind: 'silent' });
     bed.fail('e1');
     await bed.timers.advanceToAsync(700);
@@ -150,10 +148,9 @@
     expect(bed.catalogue.get('e1-next')).to.equal(null);
   });
 
-  it('believes no silence that was a pause of its own', async () => {
-    // Symptom: an instance that was frozen takes all engines of its domain for dead when it wakes.
-    // Sequence: it asks an engine, stands still, and finds the time for the answer over.
-    // Cause: the time-out of a question counts the time in which nobody could read the answer.
+  it('ignores an unanswered probe that was delayed by a pause of this process', async () => {
+    // Guards against an instance that was suspended and then treats all engines of its domain as dead: the timeout of a
+    // probe includes the time in which the process could not read the answer.
     const bed = createBed();
     bed.setDelay(2000);
     bed.health.set('e1', { kind: 'silent' });
@@ -162,7 +159,7 @@
     expect(bed.catalogue.get('e1')).to.include({ state: 'live' });
   });
 
-  it('keeps an engine that refused because it was full', async () => {
+  it('keeps an engine live that refused a call but answers a probe as healthy', async () => {
     const bed = createBed();
     bed.fail('e1');
     await bed.timers.advanceToAsync(3000);
@@ -170,8 +167,8 @@
     expect(bed.catalogue.get('e1')).to.include({ state: 'live' });
   });
 
-  it('asks engines that are silent under an answer that is left with them', async () => {
-    // Guards against a dead engine that stays in use since no call was taken from it.
+  it('probes unresponsive engines of a call that is not cancelled', async () => {
+    // Guards against a dead engine that stays in use because no call to it failed or was cancelled.
     const bed = createBed();
     bed.start();
     bed.watch.noteSilent(['e0', 'e1', 'far']);
@@ -179,10 +176,9 @@
     expect(bed.asked).to.deep.equal(['health e0', 'health e1']);
   });
 
-  it('suspects all engines of a chain that was given up silent, and finds one that started anew', async () => {
-    // Symptom: an engine that crashed and is back stays unused until the store is back.
-    // Sequence: the store is out; an engine falls silent, and another incarnation answers at its address.
-    // Cause: incarnations are known by their entries only.
+  it('suspects all engines of a stalled call that is cancelled, and detects a restarted engine', async () => {
+    // Guards against a restarted engine that stays unused until the store is back: during the outage the engine crashes
+    // and another incarnation answers at its address, but incarnations are known only from entries in the store.
     const bed = createBed();
     const cancel = bed.start();
     await bed.timers.advanceToAsync(400);
--- a/packages/relay/src/__tests__/unit/RelayIntake.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayIntake.test.ts
@@ -25,7 +25,7 @@
   const streams: { spec: RequestSpec; sink: RequestSink }[] = [];
   const calls: { spec: ServiceSpec; sink: ServiceSink }[] = [];
   const decisions: Record<string, unknown>[] = [];
-  let newsAge = 400;
+  let staleness = 400;
   let confirm: ConfirmCurrent = (done) => done(false);
   let table: RouteTable | null = createRouteTable(
     createConfig({ routes: [createRoute(), ACCOUNTS] }),
@@ -45,13 +45,13 @@
     random: createRandom(1),
     router,
     getTable: () => table,
-    getStaleness: () => newsAge,
+    getStaleness: () => staleness,
     changeTime: 2000,
     confirmCurrent: (done) => confirm(done),
     onDecision: (decision) => decisions.push({ ...decision }),
   });
   const submit = (change: Partial<RelayCall> = {}) => {
-    const heard: string[] = [];
+    const received: string[] = [];
     const refusals: RelayRefusal[] = [];
     const handle = intake.submit(
       {
@@ -68,20 +68,20 @@
         ...change,
       },
       {
-        onHead: ({ status }) => heard.push(`head ${status}`),
-        onEvent: (event) => heard.push(event),
-        onEnd: () => heard.push('end'),
-        onAborted: () => heard.push('broken'),
-        onAnswer: ({ status }) => heard.push(`answer ${status}`),
+        onHead: ({ status }) => received.push(`head ${status}`),
+        onEvent: (event) => received.push(event),
+        onEnd: () => received.push('end'),
+        onAborted: () => received.push('broken'),
+        onAnswer: ({ status }) => received.push(`answer ${status}`),
         onRefused: (refusal) => refusals.push(refusal),
       },
     );
-    return { heard, refusals, handle };
+    return { received, refusals, handle };
   };
   return {
     timers,
-    setNewsAge(age: number) {
-      newsAge = age;
+    setStaleness(age: number) {
+      staleness = age;
     },
     setConfirm(next: ConfirmCurrent) {
       confirm = next;
@@ -97,10 +97,9 @@
 }
 
 describe('RelayIntake', () => {
-  it('answers 503 with a time to come back while it knows no configuration', () => {
-    // Symptom: callers are told for good that their route does not exist.
-    // Sequence: a restarted instance takes requests before it has read the configuration.
-    // Cause: no configuration is taken for an empty one.
+  it('answers 503 with a retry delay while no configuration is known', () => {
+    // Guards against permanent refusals of existing routes: a restarted instance accepts requests before it has read
+    // the configuration, and treats the missing configuration as an empty one.
     const bed = createBed();
     bed.setTable(null);
     const [refusal] = bed.submit().refusals;
@@ -108,13 +107,13 @@
     expect(refusal?.retryAfter).to.be.greaterThan(0);
   });
 
-  it('refuses unknown routes and keys, and lets public routes in without a key', () => {
+  it('refuses unknown routes and keys, and accepts requests to public routes without a key', () => {
     const bed = createBed();
     expect(bed.submit({ path: '/other/' }).refusals[0]?.status).to.equal(404);
     expect(bed.submit({ host: 'other' }).refusals[0]?.status).to.equal(404);
     expect(bed.submit({ key: 'wrong' }).refusals[0]?.status).to.equal(401);
     expect(bed.submit({ key: null }).refusals[0]?.status).to.equal(401);
-    // What it was judged by: an instance that is behind is told from one that is right.
+    // The log shows the basis of a refusal, which distinguishes a stale instance from a current one.
     expect(bed.decisions[0]).to.include({ reason: 'no route', version: 1, newsAge: 400 });
     const routes = [createRoute({ isPublic: true })];
     bed.setTable(createRouteTable(createConfig({ routes })));
@@ -122,33 +121,33 @@
     expect(bed.streams[0]?.spec.team).to.equal('');
   });
 
-  it('says that a call was not run, and when to come back, while its route or key may be new', () => {
-    // Callers got 404 for routes that the store had accepted seconds before, from instances that had not heard of them.
-    // No caller repeats a request after a 404, so each was lost, where another instance would have served it.
+  it('answers 503 with a retry delay while an unknown route or key may be new', () => {
+    // Guards against a 404 from a stale instance for a route that the store accepted seconds before. Callers do not
+    // retry after a 404, so the request is lost although another instance would have served it.
     const bed = createBed();
-    bed.setNewsAge(3500);
+    bed.setStaleness(3500);
     for (const change of [{ path: '/new/1' }, { key: 'new' }]) {
       const [refusal] = bed.submit(change).refusals;
       expect(refusal?.status).to.equal(503);
       expect(refusal?.retryAfter).to.be.within(1, 1000);
     }
-    // What is known is served for as long as nothing newer is heard.
+    // Known routes are served without a limit on staleness.
     expect(bed.submit().refusals).to.deep.equal([]);
-    // A change has 2 s to be in force, and the age of news may leave out 0.7 s.
-    bed.setNewsAge(1301);
+    // A change must be in force within 2 s, and staleness can be understated by 0.7 s.
+    bed.setStaleness(1301);
     expect(bed.submit({ path: '/new/1' }).refusals[0]?.status).to.equal(503);
     expect(bed.submit({ key: 'new' }).refusals[0]?.status).to.equal(503);
-    bed.setNewsAge(1300);
+    bed.setStaleness(1300);
     expect(bed.submit({ path: '/new/1' }).refusals[0]?.status).to.equal(404);
     expect(bed.submit({ key: 'new' }).refusals[0]?.status).to.equal(401);
   });
 
-  it('asks the store before it says that a route is not there, and serves what is', () => {
-    // Guards against a 404 for a route that was to be in force, from an instance whose watch stands still.
+  it('queries the store before it refuses an unknown route, and serves the route if it exists', () => {
+    // Guards against a 404 for a route that must already be in force, from an instance whose watch is stalled.
     const bed = createBed();
     const answers: ((isCurrent: boolean) => void)[] = [];
     bed.setConfirm((done) => answers.push(done));
-    bed.setNewsAge(2400);
+    bed.setStaleness(2400);
     const found = bed.submit({ path: '/new/1', timeLeft: 5000 });
     const left = bed.submit({ path: '/new/2' });
     left.handle.cancel();
@@ -156,26 +155,26 @@
     bed.timers.advanceTo(100);
     const routes = [createRoute(), createRoute({ name: 'new', prefix: '/new/' })];
     bed.setTable(createRouteTable(createConfig({ routes })));
-    bed.setNewsAge(100);
+    bed.setStaleness(100);
     answers.forEach((answer) => answer(true));
     expect([found.refusals, left.refusals, bed.streams.length]).to.deep.equal([[], [], 1]);
-    // The time that the question took is the caller's.
+    // The time of the query counts against the caller's deadline.
     expect(bed.streams[0]?.spec.deadline).to.equal(5000 - 20);
   });
 
-  it('says at once that a route is not there once the store has said so', () => {
-    // Guards against a caller that is sent from instance to instance for a route that does not exist.
+  it('answers 404 or 401 as soon as the store confirms that the route or key does not exist', () => {
+    // Guards against callers that retry at one instance after another for a route that does not exist.
     const bed = createBed();
-    bed.setNewsAge(2400);
+    bed.setStaleness(2400);
     bed.setConfirm((done) => {
-      bed.setNewsAge(5);
+      bed.setStaleness(5);
       done(true);
     });
     expect(bed.submit({ path: '/none/1' }).refusals[0]?.status).to.equal(404);
     expect(bed.submit({ key: 'none' }).refusals[0]?.status).to.equal(401);
   });
 
-  it('bounds the time by the caller and by the route, whichever ends first', () => {
+  it('uses the earlier deadline of the caller and the route', () => {
     const bed = createBed();
     bed.submit({ timeLeft: 3000 });
     bed.submit({ timeLeft: 60_000 });
@@ -186,9 +185,9 @@
   });
 
   it('refuses a stream without a chain before its caller leaves for good', () => {
-    // Symptom: callers of an outage of three seconds are never served, though they could have come back.
-    // Sequence: no chain is whole; requests wait for one; each caller leaves after two seconds of silence.
-    // Cause: requests waited for five seconds, so that no caller ever heard when to come back.
+    // Guards against callers that are not served after an outage of three seconds although a retry would succeed: no
+    // chain is complete and requests wait for one. If they wait for five seconds, callers leave after two seconds
+    // without an answer and never receive the retry delay.
     const bed = createBed();
     const routes = [
       createRoute({ callerPatience: 2000 }),
@@ -201,7 +200,7 @@
     expect(bed.streams[1]?.spec.patience).to.be.greaterThan(2000);
   });
 
-  it('lets only what may be repeated run again', () => {
+  it('marks only repeatable requests as idempotent', () => {
     const bed = createBed();
     const kinds = [
       createRoute({ prefix: '/resumable/', isResumable: true }),
@@ -215,7 +214,7 @@
     expect(bed.calls.map(({ spec }) => spec.idempotent)).to.deep.equal([true, false]);
   });
 
-  it('promises "not run" only where it is known', () => {
+  it('answers 503 only for requests that are known not to have run', () => {
     const bed = createBed();
     const refuse = (kind: ProblemKindName, run: RunStateName): RelayRefusal | undefined => {
       const { refusals } = bed.submit({ path: '/accounts/1' });
@@ -230,18 +229,18 @@
     expect(notRun?.retryAfter).to.be.greaterThan(0);
   });
 
-  it('breaks a stream off that has begun, and never lets it look whole', () => {
+  it('aborts a started stream on an error without an end event', () => {
     const bed = createBed();
-    const { heard, refusals } = bed.submit();
+    const { received, refusals } = bed.submit();
     const sink = bed.streams[0]?.sink;
     sink?.onStart({ status: 200, headers: {} });
     sink?.onToken(0, 'event');
     sink?.onError({ kind: 'engine-failed', run: 'ran', retryAfter: null, instance: null });
-    expect(heard).to.deep.equal(['head 200', 'event', 'broken']);
+    expect(received).to.deep.equal(['head 200', 'event', 'broken']);
     expect(refusals).to.deep.equal([]);
   });
 
-  it('logs how a stream’s events came', () => {
+  it('logs the timing of a stream’s events', () => {
     const bed = createBed();
     bed.submit();
     const sink = bed.streams[0]?.sink;
--- a/packages/relay/src/__tests__/unit/RelayLease.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLease.test.ts
@@ -43,7 +43,7 @@
 }
 
 describe('RelayLease', () => {
-  it('gives each domain one placer, of its own instances if it has any', async () => {
+  it('gives the placement of each domain to one instance, preferably one of that domain', async () => {
     const { timers, create } = createBed();
     const leases = [create('one', 'd1'), create('three', 'd1'), create('other', 'd2')];
     await timers.advanceToAsync(4000);
@@ -54,10 +54,10 @@
     expect(leases[0]?.listInstances()).to.have.length(3);
   });
 
-  it('passes a dead holder’s duty on, and lets the holder act no more before that', async () => {
-    // Symptom: two instances order the same engines about.
-    // Sequence: the holder is cut off from the store; its lease ends; another takes the duty.
-    // Cause: a holder that finds its own name in what it last read.
+  it('passes on the duty of a cut-off holder only after the holder has stopped acting', async () => {
+    // Guards against two instances that send orders to the same engines. The holder is cut off from the store, its
+    // lease lapses and another instance takes the duty. The first one must not go on acting because the state that it
+    // read last still names it as holder.
     const { timers, store, create } = createBed();
     const first = create('one', 'd1');
     await timers.advanceToAsync(2000);
@@ -73,18 +73,17 @@
     expect(second.listInstances().map(({ id }) => id)).to.deep.equal(['third']);
   });
 
-  it('lets another domain’s instance place where there is none of its own', async () => {
+  it('lets an instance of another domain place a domain that has no instances', async () => {
     const { timers, create } = createBed();
     const lease = create('one', 'd1');
     await timers.advanceToAsync(6000);
     expect(lease.holds('d2')).to.equal(true);
   });
 
-  it('gives a domain’s placement back to its own instances once they are there', async () => {
-    // Symptom: a domain that was cut off loses its chain for seconds just when it can be reached again.
-    // Sequence: its instances' leases lapse in the cut; one of another domain takes the placement; the cut
-    // heals, and it cuts the layers anew by entries that come back one after the other.
-    // Cause: whoever holds a duty keeps it for as long as it lives.
+  it('returns the placement of a domain to its own instances once they are registered', async () => {
+    // Guards against a domain that loses its chain for seconds when a network partition ends. During the partition the
+    // leases of its instances lapse and an instance of another domain takes the placement. That instance then assigns
+    // the layers anew while the engines' entries return one by one, because a holder kept its duty until it stopped.
     const { timers, create } = createBed();
     const far = create('far', 'd1');
     await timers.advanceToAsync(6000);
@@ -96,10 +95,9 @@
     expect(far.holds('d1')).to.equal(true);
   });
 
-  it('has few instances claim a placement, however many could', async () => {
-    // Symptom: each start of a fleet of 195 costs the store hundreds of writes, of which five count.
-    // Sequence: a domain's placement becomes free; all of its instances hear of it at the same time.
-    // Cause: each claims it at once, and hears later that another was first.
+  it('limits the claims for a free placement in a large domain', async () => {
+    // Guards against hundreds of store writes, of which five succeed, at each start of a fleet of 195 instances. All
+    // instances of a domain learn of a free placement at the same time, and each one claimed it at once.
     const { timers, store, create } = createBed();
     let claims = 0;
     const { write } = store;
@@ -115,14 +113,14 @@
     holder?.stop();
     await timers.advanceToAsync(16_000);
     expect(leases.filter((lease) => lease.holds('d1'))).to.have.length(1);
-    // Both domains' placements were the holder's or are another's: one claim each, and one that crossed it.
+    // Each domain's placement takes at most one successful claim and one concurrent claim.
     expect(claims).to.be.at.most(4);
   });
 
-  it('keeps a placement whose claim is heard of late', async () => {
-    // Symptom: a domain's placement goes from one instance to the next every three seconds.
-    // Sequence: a claim wins; its word comes back with news that are gathered for half a second and more.
-    // Cause: the lease is not renewed by an instance that does not know yet that it holds something.
+  it('keeps a placement when the result of its claim arrives late', async () => {
+    // Guards against a placement that moves to another instance every three seconds. A claim succeeds, but its result
+    // arrives with updates that are batched for half a second or more. Until then the instance did not know that
+    // it held the placement and did not renew the lease.
     const { timers, create } = createBed();
     const lease = create('one', 'd1');
     await timers.advanceToAsync(3000);
--- a/packages/relay/src/__tests__/unit/RelayParts.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayParts.test.ts
@@ -15,7 +15,7 @@
 
 const CONFIG_KEY = 'config';
 const BACKENDS = 'backends/';
-const GRACE = 1000;
+const STOP_DELAY = 1000;
 const LEASE_TIME = 3000;
 
 interface SentOrder {
@@ -25,7 +25,7 @@
   readonly at: number;
 }
 
-/** Instances of one failure domain and its four engines, on one store. */
+/** Test setup with one store, one failure domain, its four engines and the instances that a test starts. */
 function createBed() {
   const timers = createVirtualTimers();
   const store = createFakeRangeStore(timers);
@@ -34,7 +34,7 @@
   const leaving = new Set<string>();
   const gone = new Set<string>();
   const orders: SentOrder[] = [];
-  let slept = 0;
+  let suspendedTime = 0;
 
   const createBackends = (by: string): BackendPorts => ({
     openEngineCall: (call, listener) => {
@@ -91,7 +91,7 @@
         changeTime: 2000,
         minLeaseTime: 1000,
         timers,
-        wallNow: () => timers.now() + slept,
+        wallNow: () => timers.now() + suspendedTime,
         random: createRandom(ids.length),
         store: port,
         readContent,
@@ -132,11 +132,11 @@
     leaving,
     gone,
     start,
-    /** Suspends all processes; their steady clock stands still. */
-    sleep: (time: Millis) => {
-      slept += time;
+    /** Simulates a suspension of all processes: only the wall clock advances, the monotonic clock does not. */
+    suspend: (time: Millis) => {
+      suspendedTime += time;
     },
-    /** Sends a request to an instance, so that it finds out what its engines refuse; gives the refusals. */
+    /** Sends a request to an instance, so that it notices which engines refuse work; returns the refusals. */
     call: (id: string, path = '/letters/1') => {
       const call: RelayCall = {
         id: `${timers.now()}`,
@@ -166,8 +166,8 @@
   };
 }
 
-/** Three seconds of an outage in which an engine leaves and each instance serves requests. */
-async function loseEngine(bed: ReturnType<typeof createBed>): Promise<void> {
+/** Simulates eight seconds of a store outage in which an engine leaves while every instance gets requests. */
+async function runOutageWithLeavingEngine(bed: ReturnType<typeof createBed>): Promise<void> {
   const start = bed.timers.now();
   bed.store.setUp(false);
   bed.leaving.add('e1');
@@ -178,10 +178,10 @@
 }
 
 describe('RelayParts', () => {
-  it('lets the last placer go on while nobody hears the store, and no other', async () => {
-    // Symptom: a domain that loses an engine while the store is out has no chain until it is back.
-    // Sequence: the store is out for all; an engine begins to leave.
-    // Cause: the placer's duty ends with its lease, and nobody can take it.
+  it('lets only the last placing instance go on while no instance reaches the store', async () => {
+    // Guards against a domain that loses an engine during a store outage and has no chain until the store recovers.
+    // The store is down for all instances and an engine starts to leave, but the placement duty ended with its
+    // lease and no instance can take it.
     const bed = createBed();
     ['one', 'two'].forEach((id) => bed.start(id));
     await bed.timers.advanceToAsync(6000);
@@ -190,50 +190,48 @@
     expect(bed.orders).to.deep.equal([]);
     bed.store.setUp(false);
     await bed.timers.advanceToAsync(6000 + LEASE_TIME);
-    await loseEngine(bed);
+    await runOutageWithLeavingEngine(bed);
     expect(new Set(bed.orders.map(({ by }) => by))).to.deep.equal(new Set([placer]));
     expect(bed.orders.some(({ engine }) => engine === 'e1')).to.equal(false);
     expect(bed.parts.get(placer)?.readState().isIsolated).to.equal(true);
   });
 
-  it('lets another one place where the last placer is gone or leaves', async () => {
-    // Symptom: the same, where the placer is stopped in the outage.
-    // Sequence: the placer is told to stop, or is killed, just before an engine leaves.
-    // Cause: the duty stays with an instance that does not act.
+  it('lets another instance place when the last placing instance leaves or is killed', async () => {
+    // Guards against the same failure when the placing instance is stopped or killed during the outage, just before
+    // an engine leaves: the duty then stayed with an instance that does not act.
     for (const isKilled of [true, false]) {
       const bed = createBed();
       ['one', 'two', 'three'].forEach((id) => bed.start(id));
       await bed.timers.advanceToAsync(6000);
       const placer = bed.findPlacer();
       bed.store.setUp(false);
-      await bed.timers.advanceToAsync(6000 + GRACE);
+      await bed.timers.advanceToAsync(6000 + STOP_DELAY);
       bed.parts.get(placer)?.startLeaving();
       if (isKilled) {
         bed.gone.add(placer);
       }
-      await loseEngine(bed);
+      await runOutageWithLeavingEngine(bed);
       const by = new Set(bed.orders.map((order) => order.by));
       expect(by.size).to.equal(1);
       expect(by.has(placer)).to.equal(false);
     }
   });
 
-  it('leaves placing to the lease while a peer hears the store', async () => {
-    // Symptom: two instances order the same engines about.
-    // Sequence: the store turns one instance away and serves the other; an engine leaves.
-    // Cause: an instance that does not hear the store itself takes it for out.
+  it('places only under the lease while a peer reaches the store', async () => {
+    // Guards against two instances that send orders to the same engines. The store is unreachable for one instance and
+    // serves the other, and an engine leaves; the first instance must not take this for a store outage.
     const bed = createBed();
     const deaf = createFakeRangeStore(bed.timers);
     deaf.setUp(false);
-    let isDeaf = false;
+    let isCutOff = false;
     const port = new Proxy(bed.store, {
-      get: (target, name: keyof StoreRangePort) => (isDeaf ? deaf[name] : target[name]),
+      get: (target, name: keyof StoreRangePort) => (isCutOff ? deaf[name] : target[name]),
     });
     bed.start('one', port);
     await bed.timers.advanceToAsync(3000);
     bed.start('two');
     await bed.timers.advanceToAsync(6000);
-    isDeaf = true;
+    isCutOff = true;
     bed.leaving.add('e1');
     for (let at = 6000; at <= 14_000; at += 500) {
       await bed.timers.advanceToAsync(at);
@@ -241,25 +239,25 @@
     }
     expect(bed.parts.get('one')?.readState()).to.include({ isIsolated: false, duties: 0 });
     expect(bed.parts.get('two')?.readState()).to.include({ duties: 1 });
-    // Until its lease could have lapsed the first one is the placer.
+    // The first instance may place until its lease could have lapsed.
     const later = bed.orders.filter(({ at }) => at > 6000 + LEASE_TIME);
     expect(later.every(({ by }) => by === 'two')).to.equal(true);
   });
 
-  it('asks the store before it says that a route is not there, once it was suspended', async () => {
-    // Guards against a 404 from an instance that slept through the change that added the route.
+  it('queries the store before it answers 404 after a suspension', async () => {
+    // Guards against a 404 from an instance that was suspended when the route was added.
     const bed = createBed();
     bed.start('one');
     await bed.timers.advanceToAsync(3000);
     bed.call('one', '/none/1');
     await bed.timers.advanceToAsync(3050);
     expect(bed.call('one', '/none/1')).to.have.length(1);
-    bed.sleep(5000);
+    bed.suspend(5000);
     const refusals = bed.call('one', '/none/1');
     expect(refusals).to.deep.equal([]);
     await bed.timers.advanceToAsync(3100);
     expect(refusals.map(({ status }) => status)).to.deep.equal([404]);
-    bed.sleep(5000);
+    bed.suspend(5000);
     bed.store.setUp(false);
     const behind = bed.call('one', '/none/1');
     await bed.timers.advanceToAsync(4000);
