--- a/packages/relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -71,7 +71,7 @@
 };
 
 describe('RelayPlacement', () => {
-  it('waits until all engines of a start are there, then orders each once', async () => {
+  it('waits until all starting engines are registered and then sends one order to each', async () => {
     const bed = createBed();
     bed.catalogue.put(createBackend('e0'));
     await bed.timers.advanceToAsync(700);
@@ -88,7 +88,7 @@
     expect(bed.orders.every(({ orderCount }) => orderCount === 7)).to.equal(true);
   });
 
-  it('orders nothing without the duty', async () => {
+  it('sends no orders without the duty', async () => {
     const bed = createBed();
     bed.setHolder(false);
     fill(bed, 4);
@@ -96,10 +96,9 @@
     expect(bed.orders).to.deep.equal([]);
   });
 
-  it('fills a gap with an engine that comes, and cuts anew if none does', async () => {
-    // Symptom: the loss of one engine reloads all others, again and again, and none serves meanwhile.
-    // Sequence: an engine crashes and is back after a second; later one is lost for good.
-    // Cause: each report of what an engine holds was planned from anew.
+  it('fills a gap with a new engine and repartitions the layers if none registers', async () => {
+    // Guards against repeated reloads of all engines after the loss of one, during which none serves. An engine crashes
+    // and returns after one second; later another is lost permanently. Every report of held layers caused a new plan.
     const bed = createBed();
     fill(bed, 4);
     await bed.timers.advanceToAsync(4000);
@@ -120,10 +119,10 @@
     expect(held.reduce((sum, range) => sum + (range ? range.end - range.first : 0), 0)).to.equal(8);
   });
 
-  it('cuts anew at once where an engine says that it leaves', async () => {
-    // Symptom: a domain refuses everything for a second and a half longer than its loads take.
-    // Sequence: an engine says that it leaves, and refuses new work from then on; no other is empty.
-    // Cause: it was waited for as for one that crashed, which may be back.
+  it('repartitions the layers without the usual wait when an engine announces that it leaves', async () => {
+    // Guards against a domain that refuses all requests for 1.5 s longer than its loads take. An engine announces that
+    // it leaves and refuses new work from then on, and no other engine is empty. The placement waited for its return
+    // as after a crash.
     const bed = createBed();
     fill(bed, 4);
     await bed.timers.advanceToAsync(4000);
@@ -134,10 +133,10 @@
     expect(bed.orders.every(({ engine }) => engine !== 'e1')).to.equal(true);
   });
 
-  it('orders nothing of an engine that started again and has not told it yet', async () => {
-    // Symptom: an engine that started again takes layers for which another was chosen meanwhile.
-    // Sequence: it starts under the name that it had; its count of orders is asked before its entry is new.
-    // Cause: the count of the later life was taken for that of the earlier one.
+  it('sends no order to a restarted engine before its new entry is known', async () => {
+    // Guards against a restarted engine that loads layers for which another engine was chosen meanwhile. It restarts
+    // under the same name and its order count is queried before its new entry is known, so the count of the new
+    // incarnation was used for a plan that was made for the earlier one.
     const bed = createBed();
     bed.setBorn(2000);
     fill(bed, 4, 1000);
@@ -148,10 +147,9 @@
     expect(bed.orders).to.have.length(4);
   });
 
-  it('keeps a chain without an order when an engine is lost whose layers others hold', async () => {
-    // Symptom: every engine that is lost costs its domain some seconds without a chain.
-    // Sequence: an engine crashes, and is back empty after two seconds.
-    // Cause: each layer had one holder.
+  it('keeps a chain without new orders when a lost engine’s layers have another copy', async () => {
+    // Guards against losing the domain's chain for some seconds with every lost engine, as happens when each layer has
+    // one copy. An engine crashes and returns without layers after two seconds.
     const bed = createBed(2, { ...PIPELINE, kvTokenBytes: 0.08 });
     fill(bed, 6);
     await bed.timers.advanceToAsync(4000);
@@ -168,10 +166,9 @@
     expect(bed.orders[0]).to.deep.include({ engine: 'back', range: held });
   });
 
-  it('does not take back what another holder moved', async () => {
-    // Symptom: a domain that was mended in an outage of the store breaks again at its end.
-    // Sequence: the holder loses its duty; another moves layers; the first gets its duty back.
-    // Cause: the first one's goals from before.
+  it('does not undo changes of another holder of the duty', async () => {
+    // Guards against a domain that was repaired during a store outage and breaks again at its end. The holder loses the
+    // duty, another instance moves layers, and the first one gets the duty back and applies its old targets.
     const bed = createBed();
     fill(bed, 4);
     await bed.timers.advanceToAsync(4000);
@@ -186,10 +183,10 @@
     expect(bed.orders).to.deep.equal([]);
   });
 
-  it('cuts one whole domain at a time for more room, and none while another has a gap', async () => {
-    // Symptom: no domain serves for some seconds, eight seconds after all processes started again.
-    // Sequence: each domain is whole but badly cut; their holders cut them anew at the same moment.
-    // Cause: each domain was looked at by itself.
+  it('repartitions one domain at a time for more capacity, and none while another has a gap', async () => {
+    // Guards against an outage of all domains for some seconds, eight seconds after all processes restarted. Each
+    // domain holds all layers, but split in a way that leaves little capacity. The holders decided for each domain
+    // alone and repartitioned all of them at the same time.
     const bed = createBed();
     const hold = (domain: string, ends: readonly number[]): void => {
       ends.forEach((end, i) => {
@@ -203,7 +200,7 @@
     await bed.timers.advanceToAsync(1400);
     expect(bed.orders).to.deep.equal([]);
     await bed.timers.advanceToAsync(7000);
-    // The gap of the third was mended, and nothing else.
+    // Only the gap of the third domain was repaired.
     expect(bed.orders.every(({ engine }) => engine.startsWith('d3'))).to.equal(true);
     bed.orders.length = 0;
     bed.setAnswer('unknown');
@@ -212,7 +209,7 @@
     expect(bed.orders.every(({ engine }) => engine.startsWith('d1'))).to.equal(true);
   });
 
-  it('asks again after an order that came too late or was lost, but not at once', async () => {
+  it('repeats an order that was stale or lost, but not at once', async () => {
     const bed = createBed();
     bed.setAnswer('stale');
     fill(bed, 4);
--- a/packages/relay/src/__tests__/unit/RelayPlannedWork.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayPlannedWork.test.ts
@@ -2,27 +2,27 @@
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createRelayPlannedWork } from '../../RelayPlannedWork.js';
 
-describe('RelayCalm', () => {
-  it('is not calm for a while after each change, and never again once a stop began', () => {
+describe('RelayPlannedWork', () => {
+  it('reports planned work for a while after each change, and permanently after shutdown started', () => {
     const timers = createVirtualTimers();
     const calm = createRelayPlannedWork(timers, 2000);
-    const isCalm = (): boolean => calm.isUnaffected(timers.now());
-    expect(isCalm()).to.equal(true);
+    const isUnaffected = (): boolean => calm.isUnaffected(timers.now());
+    expect(isUnaffected()).to.equal(true);
     calm.noteConfigChange();
     timers.advanceTo(4000);
     calm.noteConfigChange();
     timers.advanceTo(8000);
-    expect(isCalm()).to.equal(false);
+    expect(isUnaffected()).to.equal(false);
     timers.advanceTo(9000);
-    expect(isCalm()).to.equal(true);
+    expect(isUnaffected()).to.equal(true);
     calm.noteStop();
     calm.noteConfigChange();
     timers.advanceTo(60_000);
-    expect(isCalm()).to.equal(false);
+    expect(isUnaffected()).to.equal(false);
   });
 
-  it('is not calm until a second after a change is in force, whenever it was acknowledged', () => {
-    // Guards against an answer that is cut beside a change where changes may take longer than on small fleets.
+  it('reports planned work until a second after a change is in force, whenever it was acknowledged', () => {
+    // Guards against answers aborted during a change in large fleets, where a change may take longer.
     const ACKNOWLEDGED_AFTER = 1500;
     for (const changeTime of [2000, 3000, 4000]) {
       const timers = createVirtualTimers();
@@ -33,8 +33,8 @@
     }
   });
 
-  it('is never calm for a request that was taken before a change of the settings had its time', () => {
-    // Guards against an answer that began before SIGHUP and is cut at any time after it.
+  it('reports planned work for requests accepted before a change of the settings was in force', () => {
+    // Guards against aborting an answer that began before SIGHUP, at any time after it.
     const timers = createVirtualTimers();
     const calm = createRelayPlannedWork(timers, 2000);
     timers.advanceTo(1000);
--- a/packages/relay/src/__tests__/unit/RelayRetryShare.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayRetryShare.test.ts
@@ -9,12 +9,11 @@
 const GRACE = 8000;
 
 describe('RelayRetryShare', () => {
-  it('keeps the fleet within its slack while instances restart in turn', () => {
-    // Symptom: 314 repeats in ten seconds where 309 were allowed.
-    // Sequence: the instances of a domain are stopped in turn, each serving on for its grace, and start
-    // again; all that they may repeat is used.
-    // Cause: those that stay took over the part of one that had left and had used it, and a process that
-    // starts had a part anew.
+  it('keeps the fleet within its slack during a rolling restart', () => {
+    // Guards against exceeding the limit (314 retries in ten seconds where 309 are allowed). The instances of a domain
+    // stop one after another, each serving for its grace period, and start again, and all use their full share. The
+    // limit is exceeded if the others take over the share that a stopped instance already used, or a new process gets a
+    // new share.
     const timers = createVirtualTimers();
     const listed = new Map<string, InstanceEntry>();
     const used: number[] = [];
@@ -64,7 +63,7 @@
     expect(used.length).to.be.greaterThan(SLACK / DOMAINS.length);
   });
 
-  it('leaves a cut-off domain its part', () => {
+  it('keeps the share of a domain that is partitioned from the others', () => {
     const timers = createVirtualTimers();
     const self = { id: 'one', domain: 'd1', address: null };
     const share = createRetryShare({
--- a/packages/relay/src/__tests__/unit/RelayStop.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayStop.test.ts
@@ -4,10 +4,9 @@
 import { stopRelay } from '../../RelayStop.js';
 
 describe('RelayStop', () => {
-  it('serves on through the balancer’s lag, drains within the grace, and cuts only then', async () => {
-    // Symptom: callers lose requests at a planned stop.
-    // Sequence: the balancer sends new connections for two seconds after readiness is withdrawn.
-    // Cause: the port is closed with the first signal.
+  it('serves through the load balancer’s lag, drains within the grace period, then closes connections', async () => {
+    // Guards against lost requests at a planned shutdown: the load balancer sends new connections for two seconds after
+    // the instance stops being ready; those requests are lost if the port closes at the first signal.
     const timers = createVirtualTimers();
     const steps: string[] = [];
     const note = (what: string) => () => steps.push(`${timers.now()} ${what}`);
--- a/packages/relay/src/__tests__/unit/RelayWork.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayWork.test.ts
@@ -8,74 +8,74 @@
 import { createRelayWork } from '../../RelayWork.js';
 
 const INSTANCES = 39;
-/** Engines of one domain that hold the same layers, and the requests that each has room for. */
+/** Engines of one domain that hold the same layers, and how many requests each can run. */
 const ENGINES = 6;
-const ROOM = 25;
-/** A domain's requests in a burst, a second, and how long each runs. */
-const BURST = 55;
+const ENGINE_CAPACITY = 25;
+/** Requests per second that arrive at a domain in a burst, and how long each runs in ms. */
+const BURST_RATE = 55;
 const RUN_TIME = 2300;
-/** As often as an instance asks whose engines are near their limit, in ms. */
-const TELL_PERIOD = 200;
+/** How often an instance queries an aggregator while its engines are near their limit, in ms. */
+const REPORT_PERIOD = 200;
 
 const IDLE: WorkReport = { running: [], lost: [] };
 
-type Believe = (instance: number, engine: string) => number;
+type EstimateCalls = (instance: number, engine: string) => number;
 
-/** Replays twenty seconds of a burst; gives the share of arrivals that found their engine full. */
-function playBurst(
-  believe: (own: readonly Map<string, number>[], now: () => number) => Believe,
+/** Simulates twenty seconds of a burst; returns the share of arrivals that met a full engine. */
+function simulateBurst(
+  createEstimate: (own: readonly Map<string, number>[], now: () => number) => EstimateCalls,
 ): number {
   const timers = createVirtualTimers();
   const random = createRandom(7);
   const own = Array.from({ length: INSTANCES }, () => new Map<string, number>());
   const running = new Map<string, number>();
-  const reckon = believe(own, timers.now);
+  const estimateCalls = createEstimate(own, timers.now);
   const engines = Array.from({ length: ENGINES }, (_, i) => `e${i}`);
   let arrivals = 0;
   let refused = 0;
 
-  function change(table: Map<string, number>, engine: string, by: number): void {
+  function addCalls(table: Map<string, number>, engine: string, by: number): void {
     table.set(engine, (table.get(engine) ?? 0) + by);
   }
 
   function arrive(): void {
     const instance = random.nextInt(INSTANCES);
     const [a, b] = [random.nextInt(ENGINES), random.nextInt(ENGINES)].map((i) => engines[i] ?? '');
-    const chosen = reckon(instance, a ?? '') <= reckon(instance, b ?? '') ? a : b;
+    const chosen = estimateCalls(instance, a ?? '') <= estimateCalls(instance, b ?? '') ? a : b;
     const engine = chosen ?? '';
     const table = own[instance] ?? new Map<string, number>();
     arrivals += 1;
-    if ((running.get(engine) ?? 0) >= ROOM) {
+    if ((running.get(engine) ?? 0) >= ENGINE_CAPACITY) {
       refused += 1;
       return;
     }
-    change(table, engine, 1);
-    change(running, engine, 1);
+    addCalls(table, engine, 1);
+    addCalls(running, engine, 1);
     timers.registerTimeout(RUN_TIME, () => {
-      change(table, engine, -1);
-      change(running, engine, -1);
+      addCalls(table, engine, -1);
+      addCalls(running, engine, -1);
     });
   }
 
-  timers.registerInterval(1000 / BURST, arrive);
+  timers.registerInterval(1000 / BURST_RATE, arrive);
   timers.advanceTo(20_000);
   return refused / arrivals;
 }
 
-function toWork(table: ReadonlyMap<string, number>): WorkReport {
+function toReport(table: ReadonlyMap<string, number>): WorkReport {
   const running = [...table].map(([engine, calls]) => ({ engine, calls, kvTokens: calls * 900 }));
   return { running, lost: [] };
 }
 
 describe('RelayWork', () => {
-  it('keeps a domain’s instances from sending a burst to engines that are full', () => {
-    // Symptom: engines refuse up to a third of all arrivals in a burst while others of their group have room.
-    // Sequence: 39 instances with one or two requests each choose among six engines near their limit.
-    // Cause: each reckons that the others have on an engine what it has itself, which is none or one.
-    const byOwn = playBurst(
+  it('keeps the instances of a domain from sending requests to full engines in a burst', () => {
+    // Guards against engines that refuse up to a third of all arrivals in a burst while others of their group have
+    // capacity left. 39 instances with one or two requests each choose among six engines near their limit, and each
+    // assumes that every other instance has as many requests on an engine as it has itself, which is none or one.
+    const refusedByOwnWork = simulateBurst(
       (own) => (instance, engine) => (own[instance]?.get(engine) ?? 0) * INSTANCES,
     );
-    const byTold = playBurst((own, now) => {
+    const refusedByReports = simulateBurst((own, now) => {
       const timers = {
         now,
         registerTimeout: () => () => undefined,
@@ -85,20 +85,20 @@
         createRelayWork({
           timers,
           self: `i${i}`,
-          readOwnWork: () => toWork(table),
+          readOwnWork: () => toReport(table),
           isAggregator: () => i === 0,
           onPeerWork: () => undefined,
           onLost: () => undefined,
         }),
       );
-      const toldAt = own.map(() => -Infinity);
+      const reportedAt = own.map(() => -Infinity);
       return (instance, engine) => {
-        // Each instance tells the aggregator and hears the others once a period, at its own time.
+        // Each instance reports to the aggregator and gets its summary once per period, at a staggered time.
         own.forEach((table, i) => {
-          const due = (toldAt[i] ?? 0) + TELL_PERIOD <= now();
+          const due = (reportedAt[i] ?? 0) + REPORT_PERIOD <= now();
           if (due) {
-            toldAt[i] = now() - (i * TELL_PERIOD) / INSTANCES / 2;
-            aggregators[0]?.recordReport(`i${i}`, toWork(table));
+            reportedAt[i] = now() - (i * REPORT_PERIOD) / INSTANCES / 2;
+            aggregators[0]?.recordReport(`i${i}`, toReport(table));
             aggregators[i]?.recordSummary(aggregators[0]?.summarizeFor(`i${i}`) ?? IDLE);
           }
         });
@@ -106,12 +106,12 @@
         return (own[instance]?.get(engine) ?? 0) + others;
       };
     });
-    // The goal for a burst is under two refusals in a hundred arrivals.
-    expect(byTold).to.be.below(0.02);
-    expect(byTold).to.be.below(byOwn / 2);
+    // In a burst, fewer than two of a hundred arrivals may be refused.
+    expect(refusedByReports).to.be.below(0.02);
+    expect(refusedByReports).to.be.below(refusedByOwnWork / 2);
   });
 
-  it('forgets what was told too long ago, and says that nothing is known', () => {
+  it('drops reports that are too old and then returns null', () => {
     const timers = createVirtualTimers();
     const lost: string[] = [];
     const create = (self: string, isAggregator: boolean) =>
@@ -142,11 +142,11 @@
     expect([aggregator.getPeerWork('e'), subscriber.getPeerWork('e')]).to.deep.equal([null, null]);
   });
 
-  it('reads no question that makes no sense, whatever bytes come', () => {
+  it('rejects malformed update queries and arbitrary bytes without throwing', () => {
     const former = { since: 1, hold: 600, level: 2, from: 'i', work: IDLE };
     const ask = { ...former, takesWhole: true };
     expect(readUpdateQuery(pack(ask))).to.deep.equal(ask);
-    // Instances of an earlier version do not say whether they take all that there is, and do not.
+    // Queries of an earlier version lack `takesWhole`, and its instances do not accept whole snapshots.
     expect(readUpdateQuery(pack(former))).to.deep.equal({ ...former, takesWhole: false });
     const wrong = [
       { ...ask, takesWhole: 'yes' },
