--- a/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
@@ -132,7 +132,7 @@
     // "unknown". Sequence: the swap takes effect, its answer is lost. Cause: no answer read as failure.
     const { timers, platform, owner, other, claim } = createStand();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
-    platform.decideNext(owner.name, 'swap', { kind: 'lost-answer' });
+    platform.injectFault(owner.name, 'swap', { kind: 'lost-answer' });
     const first = claim(owner, 'k');
     const second = claim(other, 'k');
     const kinds = [await waitFor(timers, first), await waitFor(timers, second)].map((o) => o.kind);
@@ -145,9 +145,9 @@
     // unchanged value that was read in between was taken as proof that the swap had failed.
     const { timers, platform, owner, other, claim } = createStand();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
-    platform.decideNext(owner.name, 'swap', { kind: 'late', delay: 2500 });
-    platform.decideNext(owner.name, 'swap', { kind: 'lost-call' });
-    platform.decideNext(owner.name, 'swap', { kind: 'lost-call' });
+    platform.injectFault(owner.name, 'swap', { kind: 'late', delay: 2500 });
+    platform.injectFault(owner.name, 'swap', { kind: 'lost-call' });
+    platform.injectFault(owner.name, 'swap', { kind: 'lost-call' });
     const refused = await waitFor(timers, claim(owner, 'k', 1500));
     expect(refused.kind).to.equal('unavailable');
     await timers.advanceToAsync(timers.now() + 2000);
@@ -299,7 +299,7 @@
     const { timers, platform, owner, other, instances, claim } = createStand();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     await timers.advanceToAsync(timers.now() + 1000);
-    platform.decideNext(owner.name, 'swap', { kind: 'lost-answer' });
+    platform.injectFault(owner.name, 'swap', { kind: 'lost-answer' });
     const first = claim(other, 'k', 15_000);
     await timers.advanceToAsync(timers.now() + 20);
     owner.kill();
--- a/packages/daemon/src/DaemonAdmin.ts
+++ b/packages/daemon/src/DaemonAdmin.ts
@@ -9,8 +9,8 @@
 import type { SubmitOutcome } from '@skylarksail/manifest/ManifestStore';
 import type { Decision } from './DaemonDecisions.js';
 import { ProblemKind, createNotRunError } from './DaemonProblems.js';
-import { describeThrown, getRequestId, sendProblem } from './DaemonReplies.js';
-import { ADMIN_GATEWAY } from './DaemonTokens.js';
+import { mapThrownError, getRequestId, sendProblem } from './DaemonReplies.js';
+import { ADMIN_GATEWAY } from './DaemonInjectionTokens.js';
 
 const STATUS_UNAVAILABLE = 503;
 const STATUS_CONFLICT = 409;
@@ -156,7 +156,7 @@
       checkToken(req.headers.authorization, this.gateway.operatorToken);
       await act();
     } catch (err) {
-      sendProblem(reply, describeThrown(err), getRequestId(req));
+      sendProblem(reply, mapThrownError(err), getRequestId(req));
     }
   }
 }
--- a/packages/daemon/src/DaemonAdminGateway.ts
+++ b/packages/daemon/src/DaemonAdminGateway.ts
@@ -70,17 +70,17 @@
         members: fleet.listLive().length,
         placement: describePlacement(options.parts.placement.getStatus()),
         claim_slot_share: claims.owner.getSlotShare(),
-        platform: { held_back: platform.isHeldBack(), ...platform.getCounts() },
-        peers: { ...fleet.link.readCounts(), garbage: fleet.countGarbage() },
+        platform: { held_back: platform.isCircuitOpen(), ...platform.getCounts() },
+        peers: { ...fleet.link.readCounts(), garbage: fleet.countMalformedEnvelopes() },
       };
     },
     readDecisions: decisions.read,
     submitManifest: manifest.submit,
-    readManifest: manifest.readWhole,
+    readManifest: manifest.readManifest,
     diffManifest: manifest.diff,
     readHistory: manifest.readHistory,
     describeInForce(revision) {
-      const domains = manifest.askInForce(revision);
+      const domains = manifest.queryInForce(revision);
       return {
         revision,
         accepted: getRevision() >= revision,
--- a/packages/daemon/src/DaemonAnswers.ts
+++ b/packages/daemon/src/DaemonAnswers.ts
@@ -1,10 +1,10 @@
 /** Answers in the chat-completions and completions shapes, whole and as server-sent events. */
 import type { FinishReason } from '@skylarksail/requests/RequestPorts';
-import type { CompletionAsk } from './DaemonCallerInput.js';
+import type { CompletionRequest } from './DaemonCallerInput.js';
 import type { ProblemBody } from './DaemonProblems.js';
 
 /** Seconds since 1970, as the shapes want it. */
-export type WallSeconds = number;
+export type UnixSeconds = number;
 
 /** Rough count of a prompt's tokens, as nobody here has the model's tokenizer. */
 export function estimatePromptTokens(prompt: string): number {
@@ -13,19 +13,19 @@
 }
 
 /** Writes the events of one streamed answer. */
-export interface EventWriter {
-  writeStart(): string;
-  writeToken(token: string): string;
-  writeEnd(reason: FinishReason, tokens: number): string;
-  writeError(problem: ProblemBody): string;
+export interface EventFormatter {
+  formatStart(): string;
+  formatToken(token: string): string;
+  formatEnd(reason: FinishReason, tokens: number): string;
+  formatError(problem: ProblemBody): string;
 }
 
 /** Creates the writer; what is the same in every event is put together once. */
-export function createEventWriter(
-  ask: CompletionAsk,
+export function createEventFormatter(
+  ask: CompletionRequest,
   id: string,
-  created: WallSeconds,
-): EventWriter {
+  created: UnixSeconds,
+): EventFormatter {
   const isChat = ask.shape === 'chat';
   const object = isChat ? 'chat.completion.chunk' : 'text_completion';
   const head = JSON.stringify({ id: createAnswerId(ask, id), object, created, model: ask.model });
@@ -38,20 +38,20 @@
       ? `data: ${head.slice(0, -1)},"choices":[],"usage":${JSON.stringify(createUsage(ask, tokens))}}\n\n`
       : '';
   return {
-    writeStart: () =>
+    formatStart: () =>
       isChat ? `${open}"delta":{"role":"assistant","content":""},"finish_reason":null}]}\n\n` : '',
-    writeToken: (token) => tokenOpen + JSON.stringify(token) + tokenClose,
-    writeEnd: (reason, tokens) =>
+    formatToken: (token) => tokenOpen + JSON.stringify(token) + tokenClose,
+    formatEnd: (reason, tokens) =>
       `${open}${emptyPart},"finish_reason":"${reason}"}]}\n\n${usageOf(tokens)}data: [DONE]\n\n`,
-    writeError: (problem) => `event: error\ndata: ${JSON.stringify({ error: problem })}\n\n`,
+    formatError: (problem) => `event: error\ndata: ${JSON.stringify({ error: problem })}\n\n`,
   };
 }
 
 /** A whole answer in one body. */
 export function createWholeAnswer(
-  ask: CompletionAsk,
+  ask: CompletionRequest,
   id: string,
-  created: WallSeconds,
+  created: UnixSeconds,
   tokens: readonly string[],
   reason: FinishReason,
 ): Readonly<Record<string, unknown>> {
@@ -70,11 +70,11 @@
   };
 }
 
-function createAnswerId(ask: CompletionAsk, id: string): string {
+function createAnswerId(ask: CompletionRequest, id: string): string {
   return `${ask.shape === 'chat' ? 'chatcmpl' : 'cmpl'}-${id}`;
 }
 
-function createUsage(ask: CompletionAsk, tokens: number): Readonly<Record<string, number>> {
+function createUsage(ask: CompletionRequest, tokens: number): Readonly<Record<string, number>> {
   const promptTokens = estimatePromptTokens(ask.prompt);
   return {
     prompt_tokens: promptTokens,
--- a/packages/daemon/src/DaemonCallerGateway.ts
+++ b/packages/daemon/src/DaemonCallerGateway.ts
@@ -120,7 +120,7 @@
         sink,
       );
     },
-    wallSeconds: () => Math.floor(options.wallNow() / MILLIS_PER_SECOND),
+    getUnixSeconds: () => Math.floor(options.wallNow() / MILLIS_PER_SECOND),
   };
 }
 
--- a/packages/daemon/src/DaemonCallerInput.ts
+++ b/packages/daemon/src/DaemonCallerInput.ts
@@ -32,7 +32,7 @@
 const completionSchema = z.object({ ...commonFields, prompt: z.string().min(1) });
 
 /** A checked body, whichever of the two shapes it came in. */
-export interface CompletionAsk {
+export interface CompletionRequest {
   readonly shape: 'chat' | 'text';
   readonly model: string;
   readonly adapter: string | null;
@@ -43,7 +43,7 @@
 }
 
 /** Reads a chat-completions body. Throws a ProblemError. */
-export function parseChatBody(body: unknown): CompletionAsk {
+export function parseChatBody(body: unknown): CompletionRequest {
   const parsed = parseBody(chatSchema, body);
   const prompt = parsed.messages
     .map(({ role, content }) => `${role}: ${joinContent(content)}`)
@@ -53,17 +53,17 @@
 }
 
 /** Reads a completions body. Throws a ProblemError. */
-export function parseCompletionBody(body: unknown): CompletionAsk {
+export function parseCompletionBody(body: unknown): CompletionRequest {
   const parsed = parseBody(completionSchema, body);
   return createAsk('text', parsed, parsed.prompt, parsed.max_tokens);
 }
 
 function createAsk(
-  shape: CompletionAsk['shape'],
+  shape: CompletionRequest['shape'],
   parsed: Pick<z.output<typeof completionSchema>, 'model' | 'stream' | 'stream_options'>,
   prompt: string,
   maxTokens: number | null | undefined,
-): CompletionAsk {
+): CompletionRequest {
   const [, model = '', adapter] = MODEL_PATTERN.exec(parsed.model) ?? [];
   return {
     shape,
@@ -103,7 +103,7 @@
 }
 
 /** How a caller wants a request to be treated. */
-export interface CallerWishes {
+export interface RequestOptions {
   readonly idempotencyKey: string | null;
   /** Time until the deadline. */
   readonly timeLeft: Millis;
@@ -111,11 +111,11 @@
 }
 
 /** Reads the headers that steer a request; what the team may not ask for is lowered or refused. */
-export function parseWishes(
+export function parseRequestOptions(
   headers: Headers,
   team: ManifestTeam,
   limits: ManifestLimits,
-): CallerWishes {
+): RequestOptions {
   return {
     idempotencyKey: parseIdempotencyKey(headers['idempotency-key']),
     timeLeft: parseDeadline(headers['x-deadline-ms'], limits),
--- a/packages/daemon/src/DaemonCallers.ts
+++ b/packages/daemon/src/DaemonCallers.ts
@@ -6,14 +6,14 @@
   parseBearerKey,
   parseChatBody,
   parseCompletionBody,
-  parseWishes,
+  parseRequestOptions,
 } from './DaemonCallerInput.js';
-import type { CompletionAsk } from './DaemonCallerInput.js';
+import type { CompletionRequest } from './DaemonCallerInput.js';
 import type { CallerGateway } from './DaemonGateway.js';
 import { createNotRunError, ProblemKind } from './DaemonProblems.js';
-import { describeThrown, getRequestId, sendProblem } from './DaemonReplies.js';
-import { selectPassedHeaders } from './DaemonServiceHttp.js';
-import { GATEWAY } from './DaemonTokens.js';
+import { mapThrownError, getRequestId, sendProblem } from './DaemonReplies.js';
+import { selectForwardedHeaders } from './DaemonServiceHttp.js';
+import { CALLER_GATEWAY } from './DaemonInjectionTokens.js';
 import { replyStreamed, replyWhole } from './DaemonCompletionReply.js';
 import { replyService } from './DaemonServiceReply.js';
 
@@ -21,7 +21,7 @@
 
 @Controller()
 class CompletionsController {
-  constructor(@Inject(GATEWAY) private readonly gateway: CallerGateway) {}
+  constructor(@Inject(CALLER_GATEWAY) private readonly gateway: CallerGateway) {}
 
   @Post('v1/chat/completions')
   postChat(@Req() req: FastifyRequest, @Res() reply: FastifyReply): void {
@@ -36,24 +36,24 @@
   private handle(
     req: FastifyRequest,
     reply: FastifyReply,
-    parse: (body: unknown) => CompletionAsk,
+    parse: (body: unknown) => CompletionRequest,
   ): void {
     const id = getRequestId(req);
     try {
       const team = this.gateway.authenticate(parseBearerKey(req.headers));
-      const wishes = parseWishes(req.headers, team, this.gateway.getLimits());
+      const wishes = parseRequestOptions(req.headers, team, this.gateway.getLimits());
       const ask = parse(req.body);
       const answer = ask.stream ? replyStreamed : replyWhole;
-      answer(this.gateway, reply, { id, team, ask, wishes });
+      answer(this.gateway, reply, { id, team, ask, requestOptions: wishes });
     } catch (err) {
-      sendProblem(reply, describeThrown(err), id);
+      sendProblem(reply, mapThrownError(err), id);
     }
   }
 }
 
 @Controller()
 class ModelsController {
-  constructor(@Inject(GATEWAY) private readonly gateway: CallerGateway) {}
+  constructor(@Inject(CALLER_GATEWAY) private readonly gateway: CallerGateway) {}
 
   @Get('v1/models')
   listModels(@Req() req: FastifyRequest, @Res() reply: FastifyReply): void {
@@ -65,32 +65,32 @@
         .map((id) => ({ id, object: 'model', created: 0, owned_by: 'skylarksail' }));
       void reply.send({ object: 'list', data });
     } catch (err) {
-      sendProblem(reply, describeThrown(err), getRequestId(req));
+      sendProblem(reply, mapThrownError(err), getRequestId(req));
     }
   }
 }
 
 @Controller()
 class ServicesController {
-  constructor(@Inject(GATEWAY) private readonly gateway: CallerGateway) {}
+  constructor(@Inject(CALLER_GATEWAY) private readonly gateway: CallerGateway) {}
 
   @All('services/*')
   callService(@Req() req: FastifyRequest, @Res() reply: FastifyReply): void {
     const id = getRequestId(req);
     try {
       const team = this.gateway.authenticate(parseBearerKey(req.headers));
-      const wishes = parseWishes(req.headers, team, this.gateway.getLimits());
+      const wishes = parseRequestOptions(req.headers, team, this.gateway.getLimits());
       const { service, path } = splitServicePath(req.url);
       const ask = {
         service: this.gateway.getService(team, service),
         method: req.method,
         path,
-        headers: selectPassedHeaders(req.headers),
+        headers: selectForwardedHeaders(req.headers),
         body: toBytes(req.body),
       };
-      replyService(this.gateway, reply, { id, team, ask, wishes });
+      replyService(this.gateway, reply, { id, team, ask, requestOptions: wishes });
     } catch (err) {
-      sendProblem(reply, describeThrown(err), id);
+      sendProblem(reply, mapThrownError(err), id);
     }
   }
 }
@@ -118,7 +118,7 @@
     return {
       module: CallersModule,
       controllers: [CompletionsController, ModelsController, ServicesController],
-      providers: [{ provide: GATEWAY, useValue: gateway }],
+      providers: [{ provide: CALLER_GATEWAY, useValue: gateway }],
     };
   }
 }
--- a/packages/daemon/src/DaemonCompletionReply.ts
+++ b/packages/daemon/src/DaemonCompletionReply.ts
@@ -2,8 +2,8 @@
 import type { FastifyReply } from 'fastify';
 import type { ManifestTeam } from '@skylarksail/manifest/ManifestSchema';
 import type { RequestSink } from '@skylarksail/requests/RequestTypes';
-import { createEventWriter, createWholeAnswer } from './DaemonAnswers.js';
-import type { CallerWishes, CompletionAsk } from './DaemonCallerInput.js';
+import { createEventFormatter, createWholeAnswer } from './DaemonAnswers.js';
+import type { RequestOptions, CompletionRequest } from './DaemonCallerInput.js';
 import { createEventStream } from './DaemonEventStream.js';
 import type { CallerGateway } from './DaemonGateway.js';
 import { createProblem } from './DaemonProblemMap.js';
@@ -16,8 +16,8 @@
 export interface CompletionExchange {
   readonly id: string;
   readonly team: ManifestTeam;
-  readonly ask: CompletionAsk;
-  readonly wishes: CallerWishes;
+  readonly ask: CompletionRequest;
+  readonly requestOptions: RequestOptions;
 }
 
 /** Collects the tokens and answers once. */
@@ -34,7 +34,7 @@
       tokens.push(token);
     },
     onEnd: (reason) => {
-      const answer = createWholeAnswer(ask, id, gateway.wallSeconds(), tokens, reason);
+      const answer = createWholeAnswer(ask, id, gateway.getUnixSeconds(), tokens, reason);
       void reply.code(STATUS_OK).header('x-request-id', id).send(answer);
     },
     onError: (problem) => sendProblem(reply, createProblem(problem), id),
@@ -52,7 +52,7 @@
 ): void {
   const { id, ask } = exchange;
   const { raw } = reply;
-  const writer = createEventWriter(ask, id, gateway.wallSeconds());
+  const writer = createEventFormatter(ask, id, gateway.getUnixSeconds());
   const stream = createEventStream(raw, gateway.timers);
   let hasStarted = false;
   let tokenCount = 0;
@@ -68,7 +68,7 @@
       'cache-control': 'no-cache',
       'x-request-id': id,
     });
-    stream.write(writer.writeStart);
+    stream.write(writer.formatStart);
   }
 
   submit(gateway, reply, exchange, {
@@ -76,15 +76,15 @@
     onToken: (_index, token) => {
       start();
       tokenCount += 1;
-      stream.write(() => writer.writeToken(token));
+      stream.write(() => writer.formatToken(token));
     },
     onEnd: (reason) => {
       start();
-      stream.end(() => writer.writeEnd(reason, tokenCount));
+      stream.end(() => writer.formatEnd(reason, tokenCount));
     },
     onError: (problem) => {
       if (hasStarted) {
-        stream.end(() => writer.writeError(createProblemBody(createProblem(problem), id)));
+        stream.end(() => writer.formatError(createProblemBody(createProblem(problem), id)));
       } else {
         sendProblem(reply, createProblem(problem), id);
       }
@@ -96,7 +96,7 @@
 function submit(
   gateway: CallerGateway,
   reply: FastifyReply,
-  { id, team, ask, wishes }: CompletionExchange,
+  { id, team, ask, requestOptions: wishes }: CompletionExchange,
   sink: RequestSink,
 ): void {
   let hasEnded = false;
--- a/packages/daemon/src/DaemonEngineHttp.ts
+++ b/packages/daemon/src/DaemonEngineHttp.ts
@@ -145,7 +145,7 @@
     },
     onResponseError(_controller, err) {
       cancelLinger?.();
-      fail(status === null ? describeSocketError(err) : { place: FailurePlace.Stream });
+      fail(status === null ? classifySocketError(err) : { place: FailurePlace.Stream });
     },
   };
   agent.dispatch(
@@ -252,7 +252,7 @@
 ]);
 
 /** Only an error that comes before there is a connection proves that no byte left us. */
-export function describeSocketError(err: unknown): Pick<AttemptFailure, 'place' | 'provenNotRun'> {
+export function classifySocketError(err: unknown): Pick<AttemptFailure, 'place' | 'provenNotRun'> {
   const code = (err as { code?: unknown } | null)?.code;
   return typeof code === 'string' && NO_CONNECTION_CODES.has(code)
     ? { place: FailurePlace.Connect, provenNotRun: true }
--- a/packages/daemon/src/DaemonEngineStatus.ts
+++ b/packages/daemon/src/DaemonEngineStatus.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import type { EngineFacts, EngineLoad } from '@skylarksail/core/CoreEngine';
 import type { HostPort, Millis } from '@skylarksail/core/CoreTypes';
-import { createTimeoutSignal } from './DaemonSignals.js';
+import { createTimeoutSignal } from './DaemonAbortSignals.js';
 
 const STATUS_OK = 200;
 const CONNECTIONS = 2;
@@ -79,7 +79,7 @@
 }
 
 /** Whether the two differ in what digests of load do not carry. */
-export function isReportNews(before: EngineStatus | undefined, after: EngineStatus): boolean {
+export function hasReportChanged(before: EngineStatus | undefined, after: EngineStatus): boolean {
   return before === undefined || getLastingPart(before) !== getLastingPart(after);
 }
 
--- a/packages/daemon/src/DaemonEngines.ts
+++ b/packages/daemon/src/DaemonEngines.ts
@@ -14,7 +14,7 @@
 import { createLoadSpread } from '@skylarksail/membership/MembershipLoad';
 import type { InstanceRecord } from '@skylarksail/store/StorePort';
 import type { EngineStatus, FetchEngineStatus } from './DaemonEngineStatus.js';
-import { engineStatusSchema, isReportNews } from './DaemonEngineStatus.js';
+import { engineStatusSchema, hasReportChanged } from './DaemonEngineStatus.js';
 import type { DaemonFleet } from './DaemonFleet.js';
 
 /** How often an engine is polled. A leaving engine must get no new work within 3 s. */
@@ -50,7 +50,7 @@
   onLoads(reports: readonly SeenEngineLoad[]): void;
   onLeaving(engine: EngineId): void;
   /** The engine did not answer its poll. */
-  onSilent(engine: EngineId): void;
+  onPollUnanswered(engine: EngineId): void;
 }
 
 export interface EngineDirectory {
@@ -125,13 +125,13 @@
     const status = await options.fetchStatus(record.address);
     polling.delete(record.id);
     if (!status || status.load.engine !== record.id || !records.has(record.id)) {
-      tell((listener) => listener.onSilent(record.id));
+      tell((listener) => listener.onPollUnanswered(record.id));
       return;
     }
     const { domain: ownDomain, rack, address } = record;
     const facts = { ...status.facts, domain: ownDomain, rack, address };
     const polled = { ...status, facts };
-    const isNews = isReportNews(reports.get(record.id)?.status, polled);
+    const isNews = hasReportChanged(reports.get(record.id)?.status, polled);
     takeReport(polled, timers.now());
     loads.recordLoad(polled.load, timers.now());
     if (isNews && fleet.duties.isOwn(getPollDuty(record.id))) {
--- a/packages/daemon/src/DaemonFleet.ts
+++ b/packages/daemon/src/DaemonFleet.ts
@@ -42,7 +42,7 @@
   /** Reads the platform's list now; false if no answer came. */
   refreshList(): Promise<boolean>;
   /** Envelopes that made no sense. */
-  countGarbage(): number;
+  countMalformedEnvelopes(): number;
   start(): Unregister;
 }
 
@@ -165,7 +165,7 @@
       };
     },
     refreshList,
-    countGarbage: () => garbage,
+    countMalformedEnvelopes: () => garbage,
     start,
   };
 }
--- a/packages/daemon/src/DaemonGateway.ts
+++ b/packages/daemon/src/DaemonGateway.ts
@@ -11,11 +11,11 @@
   RequestProblem,
   RequestSink,
 } from '@skylarksail/requests/RequestTypes';
-import type { CallerWishes, CompletionAsk } from './DaemonCallerInput.js';
-import type { WallSeconds } from './DaemonAnswers.js';
+import type { RequestOptions, CompletionRequest } from './DaemonCallerInput.js';
+import type { UnixSeconds } from './DaemonAnswers.js';
 
 /** A plain-service call as a caller sends it. */
-export interface ServiceAsk {
+export interface ServiceRequest {
   readonly service: ManifestService;
   readonly method: string;
   /** Path below the service with its query. */
@@ -45,17 +45,17 @@
   submitCompletion(
     id: string,
     team: ManifestTeam,
-    ask: CompletionAsk,
-    wishes: CallerWishes,
+    ask: CompletionRequest,
+    wishes: RequestOptions,
     sink: RequestSink,
   ): RequestHandle;
   submitService(
     id: string,
     team: ManifestTeam,
-    ask: ServiceAsk,
-    wishes: CallerWishes,
+    ask: ServiceRequest,
+    wishes: RequestOptions,
     sink: ServiceSink,
   ): RequestHandle;
-  wallSeconds(): WallSeconds;
+  getUnixSeconds(): UnixSeconds;
   readonly timers: TimerService;
 }
--- a/packages/daemon/src/DaemonHttpServer.ts
+++ b/packages/daemon/src/DaemonHttpServer.ts
@@ -10,7 +10,7 @@
 import { RunState } from '@skylarksail/core/CoreConstants';
 import type { HostPort, Millis } from '@skylarksail/core/CoreTypes';
 import { ProblemKind, createProblemBody } from './DaemonProblems.js';
-import { describeThrown, sendProblem } from './DaemonReplies.js';
+import { mapThrownError, sendProblem } from './DaemonReplies.js';
 
 const MAX_HEADER_COUNT = 100;
 const KEEP_ALIVE: Millis = 72_000;
@@ -37,7 +37,7 @@
   catch(err: unknown, host: ArgumentsHost): void {
     const http = host.switchToHttp();
     const { id } = http.getRequest<FastifyRequest>();
-    sendProblem(http.getResponse<FastifyReply>(), describeThrown(err), id);
+    sendProblem(http.getResponse<FastifyReply>(), mapThrownError(err), id);
   }
 }
 
--- a/packages/daemon/src/DaemonLogSink.ts
+++ b/packages/daemon/src/DaemonLogSink.ts
@@ -27,7 +27,7 @@
   flush(): void;
   getDropped(): DroppedLines;
   /** Calls the listener once lines flow again after some were dropped. */
-  registerDropped(listener: (dropped: DroppedLines) => void): Unregister;
+  registerDropListener(listener: (dropped: DroppedLines) => void): Unregister;
 }
 
 /** The logger's level info. */
@@ -129,7 +129,7 @@
     },
     flush: start,
     getDropped: () => dropped,
-    registerDropped(listener) {
+    registerDropListener(listener) {
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
--- a/packages/daemon/src/DaemonManifest.ts
+++ b/packages/daemon/src/DaemonManifest.ts
@@ -54,11 +54,11 @@
     expectedRevision: number | null,
   ): Promise<SubmitOutcome>;
   /** The whole manifest in force, for operators. */
-  readWhole(): { readonly revision: number; readonly manifest: Manifest } | null;
+  readManifest(): { readonly revision: number; readonly manifest: Manifest } | null;
   diff(next: Manifest): readonly ManifestChange[];
   readHistory(): Promise<readonly RevisionSummary[]>;
   /** How far a revision is in force, domain by domain; asking also refreshes what is known. */
-  askInForce(revision: number): readonly DomainInForce[];
+  queryInForce(revision: number): readonly DomainInForce[];
   registerListener(listener: (view: ManifestView) => void): Unregister;
   stop(): void;
 }
@@ -125,7 +125,7 @@
     );
   }
 
-  function readWhole(): ReturnType<DaemonManifest['readWhole']> {
+  function readWhole(): ReturnType<DaemonManifest['readManifest']> {
     const held = runner.getState().inForce;
     return (
       held && {
@@ -145,7 +145,7 @@
         deadline: timers.now() + SUBMIT_DEADLINE,
         onAccepted: runner.learnAccepted,
       }),
-    readWhole,
+    readManifest: readWhole,
     diff: (next) => {
       const whole = readWhole();
       return whole ? diffManifests(whole.manifest, next) : [];
@@ -162,7 +162,7 @@
       }
       return history.value;
     },
-    askInForce(revision) {
+    queryInForce(revision) {
       runner.askInForce(revision);
       return listInForce(runner.getState(), revision, timers.now());
     },
--- a/packages/daemon/src/DaemonMetrics.ts
+++ b/packages/daemon/src/DaemonMetrics.ts
@@ -35,7 +35,7 @@
 };
 
 export interface DaemonMetrics {
-  countRouter(metric: RouterMetric): void;
+  recordRouterMetric(metric: RouterMetric): void;
   /** A counter that grows by `count`. */
   count(name: string, help: string, count?: number): void;
   /** A gauge whose value is read when Prometheus asks. */
@@ -85,7 +85,7 @@
   Object.values(ROUTER_TIMES).forEach(getTimes);
 
   return {
-    countRouter({ name, value }) {
+    recordRouterMetric({ name, value }) {
       const counter = ROUTER_COUNTERS[name];
       const time = ROUTER_TIMES[name];
       if (counter) {
--- a/packages/daemon/src/DaemonOrderHttp.ts
+++ b/packages/daemon/src/DaemonOrderHttp.ts
@@ -4,7 +4,7 @@
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { Order, OrderAnswer } from '@skylarksail/placement/PlacementOrderTypes';
 import type { FindEngineAddress } from './DaemonEngineHttp.js';
-import { createTimeoutSignal } from './DaemonSignals.js';
+import { createTimeoutSignal } from './DaemonAbortSignals.js';
 
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
--- a/packages/daemon/src/DaemonParts.ts
+++ b/packages/daemon/src/DaemonParts.ts
@@ -127,7 +127,7 @@
     random,
     chooseChain: routing.chooseChain,
     chooseRepair: routing.chooseRepair,
-    openEngineCall: routing.watchGaps(engineHttp.open),
+    openEngineCall: routing.trackTokenGaps(engineHttp.open),
     chooseServer: (service, avoid) => {
       const servers = directory.listServers(service).filter((id) => !avoid.includes(id));
       const server = servers[random.nextInt(Math.max(1, servers.length))];
@@ -143,17 +143,18 @@
     getKvCapacity: routing.getKvCapacity,
     getBootId: routing.getBootId,
     onDecision: (record) => decisions.record({ ...record }),
-    onCount: metrics.countRouter,
+    onCount: metrics.recordRouterMetric,
   });
 
   directory.registerListener({
-    onFacts: routing.setFacts,
+    onFacts: routing.setEngineFacts,
     onLoads: (reports) => {
       routing.setEngineLoads(reports);
       reports.forEach(({ load }) => router.noteEngineAlive(load.engine, load.bootId));
     },
     onLeaving: routing.setLeaving,
-    onSilent: () => metrics.count('engine_polls_unanswered', 'engine polls without an answer'),
+    onPollUnanswered: () =>
+      metrics.count('engine_polls_unanswered', 'engine polls without an answer'),
   });
 
   await fleet.refreshList();
--- a/packages/daemon/src/DaemonReplies.ts
+++ b/packages/daemon/src/DaemonReplies.ts
@@ -30,7 +30,7 @@
 }
 
 /** What Fastify itself found wrong with a request, told as a problem; null if it is not Fastify's. */
-export function describeFastifyError(err: unknown): Problem | null {
+export function mapFastifyError(err: unknown): Problem | null {
   const { code, statusCode: ownStatus } = (err ?? {}) as { code?: unknown; statusCode?: unknown };
   const statusCode = err instanceof HttpException ? err.getStatus() : ownStatus;
   if (code === 'FST_ERR_CTP_BODY_TOO_LARGE' || statusCode === 413) {
@@ -50,11 +50,11 @@
  * The problem for anything thrown while a request is handled. What is not expected is a fault of ours:
  * its text stays in the log, since it could show one team what belongs to another.
  */
-export function describeThrown(err: unknown): Problem {
+export function mapThrownError(err: unknown): Problem {
   if (err instanceof ProblemError) {
     return err.problem;
   }
-  return describeFastifyError(err) ?? { kind: ProblemKind.Internal, run: RunState.Unknown };
+  return mapFastifyError(err) ?? { kind: ProblemKind.Internal, run: RunState.Unknown };
 }
 
 /** Id of a request, the same in logs, answers and calls to backend servers. */
--- a/packages/daemon/src/DaemonRouting.ts
+++ b/packages/daemon/src/DaemonRouting.ts
@@ -57,7 +57,7 @@
   getBootId(engine: EngineId): string | null;
   /** KV cache of the own domain's engines that this instance may count on, in tokens. */
   getKvCapacity(): number | null;
-  setFacts(facts: readonly EngineFacts[]): void;
+  setEngineFacts(facts: readonly EngineFacts[]): void;
   setEngineLoads(reports: readonly SeenEngineLoad[]): void;
   setLeaving(engine: EngineId): void;
   setManifest(view: ManifestView): void;
@@ -67,7 +67,7 @@
   setInstanceCounts(own: number, foreign: number): void;
   setDomainReach(domain: DomainId, reachable: boolean): void;
   /** The same calls, with their times between tokens noted while they run. */
-  watchGaps(open: OpenEngineCall): OpenEngineCall;
+  trackTokenGaps(open: OpenEngineCall): OpenEngineCall;
   /** What streams that share a link tell of it. */
   readonly links: LinkMonitor;
   /** Starts working out capacity shares anew as engines change. */
@@ -233,7 +233,7 @@
     },
     getBootId: (engine) => state.loads.get(engine)?.load.bootId ?? null,
     getKvCapacity: () => computeKvCapacity(state, domain),
-    setFacts: (facts) => {
+    setEngineFacts: (facts) => {
       state = setEngines(state, facts);
     },
     setEngineLoads: (reports) => {
@@ -267,7 +267,7 @@
     setDomainReach: (foreign, reachable) => {
       state = setDomainReach(state, foreign, reachable, timers.now());
     },
-    watchGaps: (open) => (call, listener) => open(call, watchCall(call.chain, listener)),
+    trackTokenGaps: (open) => (call, listener) => open(call, watchCall(call.chain, listener)),
     links: {
       notePaces: (paces) => {
         state = recordPaces(state, paces, timers.now());
--- a/packages/daemon/src/DaemonServiceHttp.ts
+++ b/packages/daemon/src/DaemonServiceHttp.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { OpenServiceCall, ServiceCall } from '@skylarksail/requests/RequestPorts';
-import { describeSocketError } from './DaemonEngineHttp.js';
+import { classifySocketError } from './DaemonEngineHttp.js';
 import type { FindEngineAddress } from './DaemonEngineHttp.js';
 
 const CONNECTIONS_PER_SERVER = 256;
@@ -25,7 +25,7 @@
 ]);
 
 /** Headers that may be passed on, in either direction. */
-export function selectPassedHeaders(
+export function selectForwardedHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   return Object.fromEntries(
@@ -77,7 +77,7 @@
     send(call, controller.signal)
       .then(async (res) => {
         const body = await readBounded(res);
-        const headers = selectPassedHeaders(res.headers);
+        const headers = selectForwardedHeaders(res.headers);
         end(() => listener.onAnswer({ status: res.statusCode, headers, body }));
       })
       .catch((err: unknown) => {
@@ -85,7 +85,7 @@
           engine: call.server,
           status: null,
           retryAfter: null,
-          ...describeSocketError(err),
+          ...classifySocketError(err),
         };
         end(() => listener.onFailure(failure));
       });
--- a/packages/daemon/src/DaemonServiceReply.ts
+++ b/packages/daemon/src/DaemonServiceReply.ts
@@ -1,8 +1,8 @@
 /** Gives a plain service's answer to its caller. */
 import type { FastifyReply } from 'fastify';
 import type { ManifestTeam } from '@skylarksail/manifest/ManifestSchema';
-import type { CallerWishes } from './DaemonCallerInput.js';
-import type { CallerGateway, ServiceAsk } from './DaemonGateway.js';
+import type { RequestOptions } from './DaemonCallerInput.js';
+import type { CallerGateway, ServiceRequest } from './DaemonGateway.js';
 import { createProblem } from './DaemonProblemMap.js';
 import { sendProblem } from './DaemonReplies.js';
 
@@ -10,14 +10,14 @@
 export interface ServiceExchange {
   readonly id: string;
   readonly team: ManifestTeam;
-  readonly ask: ServiceAsk;
-  readonly wishes: CallerWishes;
+  readonly ask: ServiceRequest;
+  readonly requestOptions: RequestOptions;
 }
 
 export function replyService(
   gateway: CallerGateway,
   reply: FastifyReply,
-  { id, team, ask, wishes }: ServiceExchange,
+  { id, team, ask, requestOptions: wishes }: ServiceExchange,
 ): void {
   let hasEnded = false;
   const handle = gateway.submitService(id, team, ask, wishes, {
--- a/packages/daemon/src/__tests__/unit/DaemonSignals.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonAbortSignals.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
-import { createTimeoutSignal } from '../../DaemonSignals.js';
+import { createTimeoutSignal } from '../../DaemonAbortSignals.js';
 
-describe('DaemonSignals', () => {
+describe('DaemonAbortSignals', () => {
   // Symptom: no manifest could be submitted; each call to the configuration service was "unknown".
   // Sequence: a deadline is the clock's reading plus a limit; the time left of it has a fraction.
   // Cause: AbortSignal.timeout throws on fractions, before anything is sent.
--- a/packages/daemon/src/__tests__/unit/DaemonLogSink.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonLogSink.test.ts
@@ -27,7 +27,7 @@
     setTimeout(() => done(null, part.byteLength), TICK_MS);
   };
   const sink = createLogSink(writeBytes);
-  sink.registerDropped((dropped) => told.push(dropped));
+  sink.registerDropListener((dropped) => told.push(dropped));
   return {
     sink,
     told,
--- a/packages/manifest/src/__tests__/unit/ManifestGarbage.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestGarbage.test.ts
@@ -93,7 +93,7 @@
       await bed.accept(10 + i);
     }
     for (let i = 0; i < 10; i++) {
-      bed.platform.decideNext('collector', 'remove', { kind: 'late', delay: 5000 });
+      bed.platform.injectFault('collector', 'remove', { kind: 'late', delay: 5000 });
     }
     const options = { deadline: bed.timers.now() + DEADLINE, maxRemovals: 1000 };
     const round = collectGarbage(bed.connect('collector'), options);
--- a/packages/manifest/src/__tests__/unit/ManifestStore.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestStore.test.ts
@@ -86,7 +86,7 @@
         ...ctx.platform,
         swap(key, expected, value, options) {
           if (key === ROOT_KEY) {
-            platform.decideNext('slow', 'swap', { kind: 'late', delay: 2 * DEADLINE });
+            platform.injectFault('slow', 'swap', { kind: 'late', delay: 2 * DEADLINE });
           }
           return ctx.platform.swap(key, expected, value, options);
         },
--- a/packages/proof/src/HistoryInstance.ts
+++ b/packages/proof/src/HistoryInstance.ts
@@ -89,7 +89,7 @@
     links: routing.links,
     chooseChain: routing.chooseChain,
     chooseRepair: routing.chooseRepair,
-    openEngineCall: routing.watchGaps(openEngineCall),
+    openEngineCall: routing.trackTokenGaps(openEngineCall),
     chooseServer: options.chooseServer,
     openServiceCall: (call, listener) =>
       options.openServiceCall(call, {
@@ -113,7 +113,7 @@
     });
   }
 
-  routing.setFacts(HISTORY_ENGINES.map(({ facts }) => facts));
+  routing.setEngineFacts(HISTORY_ENGINES.map(({ facts }) => facts));
   routing.setInstanceCounts(2, 1);
   routing.start();
   report();
--- a/packages/relay/src/RelayEngines.ts
+++ b/packages/relay/src/RelayEngines.ts
@@ -170,7 +170,7 @@
     if (known.size > engines.length) {
       evictRemovedEngines();
     }
-    routing.setFacts(engines.map(({ facts }) => facts));
+    routing.setEngineFacts(engines.map(({ facts }) => facts));
     setLoads(engines);
     engines
       .filter(({ entry }) => entry.state === LifeState.Leaving)
--- a/packages/relay/src/RelayLeaseKeeper.ts
+++ b/packages/relay/src/RelayLeaseKeeper.ts
@@ -56,7 +56,7 @@
     }
     const current = lease;
     const requestedAt = timers.now();
-    const outcome = await port.keepLease(current.id, callOptions);
+    const outcome = await port.renewLease(current.id, callOptions);
     if (outcome.kind === 'done') {
       current.safeUntil = requestedAt + time - SAFETY_MARGIN;
     } else if (outcome.kind === 'refused' && outcome.reason.kind === 'lapsed') {
@@ -91,7 +91,7 @@
     stop() {
       isStopped = true;
       if (lease) {
-        void port.endLease(lease.id, callOptions);
+        void port.revokeLease(lease.id, callOptions);
       }
     },
   };
--- a/packages/relay/src/RelayMetrics.ts
+++ b/packages/relay/src/RelayMetrics.ts
@@ -19,8 +19,8 @@
     watchRange: (...args) => count(port.watchRange(...args)),
     write: (...args) => count(port.write(...args)),
     grantLease: (...args) => count(port.grantLease(...args)),
-    keepLease: (...args) => count(port.keepLease(...args)),
-    endLease: (...args) => count(port.endLease(...args)),
+    renewLease: (...args) => count(port.renewLease(...args)),
+    revokeLease: (...args) => count(port.revokeLease(...args)),
   };
 }
 
--- a/packages/relay/src/RelayParts.ts
+++ b/packages/relay/src/RelayParts.ts
@@ -211,7 +211,7 @@
     random,
     chooseChain: routing.chooseChain,
     chooseRepair: routing.chooseRepair,
-    openEngineCall: health.watchCalls(routing.watchGaps(backends.openEngineCall)),
+    openEngineCall: health.watchCalls(routing.trackTokenGaps(backends.openEngineCall)),
     chooseServer: createServerChooser({ timers, random, domain: self.domain, catalogue }),
     openServiceCall: backends.openServiceCall,
     claims: NO_CLAIMS,
@@ -225,7 +225,7 @@
     isEnding: (engine) => catalogue.get(engine)?.state !== LifeState.Live,
     onSilent: health.noteSilent,
     onDecision: (record) => decisions.record({ ...record }),
-    onCount: metrics.countRouter,
+    onCount: metrics.recordRouterMetric,
   });
   const intake = createRelayIntake({
     timers,
--- a/packages/relay/src/RelaySync.ts
+++ b/packages/relay/src/RelaySync.ts
@@ -9,7 +9,7 @@
 import type { RouteTable } from '@skylarksail/routes/RouteTable';
 import { createRouteTable } from '@skylarksail/routes/RouteTable';
 import type { StoreEvent, StoreItem, StoreRangePort } from '@skylarksail/store/StoreRange';
-import { registerFollow } from '@skylarksail/store/StoreFollow';
+import { registerRangeWatch } from '@skylarksail/store/StoreRangeWatch';
 import type { Catalogue } from './RelayCatalogue.js';
 import type { ConfirmCurrent } from './RelayConfirm.js';
 import { createRelayConfirm } from './RelayConfirm.js';
@@ -179,7 +179,7 @@
       events.forEach((event) => applyEvent(event, { ...news.readState(), source: STORE_SOURCE })),
     onSynced: news.noteSynced,
   });
-  const stop = registerFollow({
+  const stop = registerRangeWatch({
     port: news.port,
     timers,
     random,
--- a/packages/relay/src/RelayUpdates.ts
+++ b/packages/relay/src/RelayUpdates.ts
@@ -279,8 +279,8 @@
       watchRange,
       write: (...args) => store.write(...args),
       grantLease: (...args) => store.grantLease(...args),
-      keepLease: (...args) => store.keepLease(...args),
-      endLease: (...args) => store.endLease(...args),
+      renewLease: (...args) => store.renewLease(...args),
+      revokeLease: (...args) => store.revokeLease(...args),
     },
     async answer(ask) {
       const { since, hold } = ask;
--- a/packages/relay/src/__tests__/unit/RelayLease.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLease.test.ts
@@ -2,7 +2,7 @@
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
-import { registerFollow } from '@skylarksail/store/StoreFollow';
+import { registerRangeWatch } from '@skylarksail/store/StoreRangeWatch';
 import { createRelayLease, RELAY_KEY_PREFIX } from '../../RelayLease.js';
 
 const DOMAINS = ['d1', 'd2'];
@@ -21,7 +21,7 @@
       listDomains: () => DOMAINS,
       onError: () => undefined,
     });
-    registerFollow({
+    registerRangeWatch({
       port: store,
       timers,
       random,
@@ -62,11 +62,11 @@
     const first = create('one', 'd1');
     await timers.advanceToAsync(2000);
     expect(first.holds('d1')).to.equal(true);
-    store.setUp(false);
+    store.setAvailable(false);
     await timers.advanceToAsync(5000);
     expect(first.holds('d1')).to.equal(false);
     first.stop();
-    store.setUp(true);
+    store.setAvailable(true);
     const second = create('third', 'd1');
     await timers.advanceToAsync(10_000);
     expect(second.holds('d1')).to.equal(true);
--- a/packages/relay/src/__tests__/unit/RelayParts.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayParts.test.ts
@@ -169,7 +169,7 @@
 /** Simulates eight seconds of a store outage in which an engine leaves while every instance gets requests. */
 async function runOutageWithLeavingEngine(bed: ReturnType<typeof createBed>): Promise<void> {
   const start = bed.timers.now();
-  bed.store.setUp(false);
+  bed.store.setAvailable(false);
   bed.leaving.add('e1');
   for (let at = start; at <= start + 8000; at += 500) {
     await bed.timers.advanceToAsync(at);
@@ -188,7 +188,7 @@
     const placer = bed.findPlacer();
     expect(placer).to.not.equal('');
     expect(bed.orders).to.deep.equal([]);
-    bed.store.setUp(false);
+    bed.store.setAvailable(false);
     await bed.timers.advanceToAsync(6000 + LEASE_TIME);
     await runOutageWithLeavingEngine(bed);
     expect(new Set(bed.orders.map(({ by }) => by))).to.deep.equal(new Set([placer]));
@@ -204,7 +204,7 @@
       ['one', 'two', 'three'].forEach((id) => bed.start(id));
       await bed.timers.advanceToAsync(6000);
       const placer = bed.findPlacer();
-      bed.store.setUp(false);
+      bed.store.setAvailable(false);
       await bed.timers.advanceToAsync(6000 + STOP_DELAY);
       bed.parts.get(placer)?.startLeaving();
       if (isKilled) {
@@ -222,7 +222,7 @@
     // serves the other, and an engine leaves; the first instance must not take this for a store outage.
     const bed = createBed();
     const deaf = createFakeRangeStore(bed.timers);
-    deaf.setUp(false);
+    deaf.setAvailable(false);
     let isCutOff = false;
     const port = new Proxy(bed.store, {
       get: (target, name: keyof StoreRangePort) => (isCutOff ? deaf[name] : target[name]),
@@ -258,7 +258,7 @@
     await bed.timers.advanceToAsync(3100);
     expect(refusals.map(({ status }) => status)).to.deep.equal([404]);
     bed.suspend(5000);
-    bed.store.setUp(false);
+    bed.store.setAvailable(false);
     const behind = bed.call('one', '/none/1');
     await bed.timers.advanceToAsync(4000);
     expect(behind.map(({ status }) => status)).to.deep.equal([503]);
--- a/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
@@ -4,7 +4,7 @@
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import type { FakeRangeStore } from '@skylarksail/store/FakeRangeStore';
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
-import { registerFollow } from '@skylarksail/store/StoreFollow';
+import { registerRangeWatch } from '@skylarksail/store/StoreRangeWatch';
 import type { StoreEvent, StoreRangePort } from '@skylarksail/store/StoreRange';
 import { createMirror } from '../../RelayMirror.js';
 import type { RelayUpdates } from '../../RelayUpdates.js';
@@ -128,7 +128,7 @@
     const member = { entry, known, updatedAt, news, isGone: false, isCut: false };
     members.set(id, member);
     entries = [...entries, entry];
-    registerFollow({
+    registerRangeWatch({
       port: news.port,
       timers,
       random: createRandom(members.size),
@@ -301,11 +301,11 @@
     ] as const) {
       const { timers, store, members, countReads } = await startFleet(10);
       const before = countReads();
-      store.setUp(false);
+      store.setAvailable(false);
       await timers.advanceToAsync(timers.now() + loss);
       expect([...members.values()].some(({ news }) => news.isCurrent())).to.equal(false);
       Array.from({ length: 8 }, (_, i) => store.put('config', `version ${i}`));
-      store.setUp(true);
+      store.setAvailable(true);
       await timers.advanceToAsync(timers.now() + 3000);
       members.forEach(({ known }) => expect(known.get('config')).to.equal('version 7'));
       expect(countReads() > before, `lost for ${loss}`).to.equal(isReadAnew);
--- a/packages/store/src/FakeRangeStore.ts
+++ b/packages/store/src/FakeRangeStore.ts
@@ -10,7 +10,7 @@
   remove(key: string): void;
   get(key: string): string | null;
   /** While down, no call is answered. */
-  setUp(isUp: boolean): void;
+  setAvailable(isUp: boolean): void;
   /** Forgets what happened so far; watches from before are told so. */
   compact(): void;
   countCalls(): number;
@@ -99,7 +99,7 @@
     put,
     remove,
     get: (key) => items.get(key)?.value ?? null,
-    setUp(next) {
+    setAvailable(next) {
       isUp = next;
       wakeWatches();
     },
@@ -159,7 +159,7 @@
         leases.set(id, { ttl, until: timers.now() + ttl });
         return { kind: 'done', value: id };
       }),
-    keepLease: (id) =>
+    renewLease: (id) =>
       answer(() => {
         const lease = leases.get(id);
         if (!lease) {
@@ -168,7 +168,7 @@
         lease.until = timers.now() + lease.ttl;
         return { kind: 'done', value: null };
       }),
-    endLease: (id) =>
+    revokeLease: (id) =>
       answer(() => {
         endLease(id);
         return { kind: 'done', value: null };
--- a/packages/store/src/FakeStore.ts
+++ b/packages/store/src/FakeStore.ts
@@ -82,7 +82,7 @@
   /** Sets some of everybody's faults, or of one client's, which then go before everybody's. */
   setFaults(faults: Partial<StoreFaults>, client?: string): void;
   /** Decides the fate of the client's next call of that operation; several are taken in order. */
-  decideNext(client: string, operation: StoreOperation, fate: CallFate): void;
+  injectFault(client: string, operation: StoreOperation, fate: CallFate): void;
   setInstances(instances: readonly InstanceRecord[]): void;
   countCalls(): StoreCallCounts;
   /** What is stored now, without a call. */
@@ -248,7 +248,7 @@
         faultsOf.set(client, { ...faultsOf.get(client), ...faults });
       }
     },
-    decideNext(client, operation, fate) {
+    injectFault(client, operation, fate) {
       const name = `${client} ${operation}`;
       fates.set(name, [...(fates.get(name) ?? []), fate]);
     },
--- a/packages/store/src/StoreCircuit.ts
+++ b/packages/store/src/StoreCircuit.ts
@@ -33,7 +33,7 @@
 }
 
 /** The circuit once a call asks to go out, and how long it must wait; 0 lets it through. */
-export function askCircuit(
+export function admitCall(
   circuit: StoreCircuit,
   settings: CircuitSettings,
   now: Millis,
--- a/packages/store/src/StoreClient.ts
+++ b/packages/store/src/StoreClient.ts
@@ -15,7 +15,7 @@
   type StoreUseName,
 } from './StoreBudget.js';
 import {
-  askCircuit,
+  admitCall,
   CLOSED_CIRCUIT,
   DEFAULT_CIRCUIT_SETTINGS,
   isCircuitOpen,
@@ -50,7 +50,7 @@
   /** The port for one use; all uses share the budget and the circuit. */
   forUse(use: StoreUseName): StorePort;
   /** Whether the service is taken to be in outage. */
-  isHeldBack(): boolean;
+  isCircuitOpen(): boolean;
   getCounts(): StoreClientCounts;
 }
 
@@ -129,7 +129,7 @@
     grace: Millis = 0,
   ): Promise<StoreOutcome<T>> {
     const startedAt = timers.now();
-    const asked = askCircuit(circuit, circuitSettings, startedAt);
+    const asked = admitCall(circuit, circuitSettings, startedAt);
     circuit = asked.circuit;
     if (asked.wait > 0) {
       count('heldBack');
@@ -174,7 +174,7 @@
 
   return {
     forUse,
-    isHeldBack: () => isCircuitOpen(circuit, circuitSettings),
+    isCircuitOpen: () => isCircuitOpen(circuit, circuitSettings),
     getCounts: () => counts,
   };
 }
--- a/packages/store/src/StoreRange.ts
+++ b/packages/store/src/StoreRange.ts
@@ -71,6 +71,6 @@
   /** Gives the number of a new lease. */
   grantLease(ttl: Millis, options: CallOptions): Promise<StoreOutcome<number>>;
   /** Refused as `lapsed` if the lease has ended. */
-  keepLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
-  endLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
+  renewLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
+  revokeLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
 }
--- a/packages/store/src/StoreFollow.ts
+++ b/packages/store/src/StoreRangeWatch.ts
@@ -42,7 +42,7 @@
 const JITTER_SHARE = 0.5;
 
 /** Starts to follow; the returned function ends it. */
-export function registerFollow(options: FollowOptions): Unregister {
+export function registerRangeWatch(options: FollowOptions): Unregister {
   const { port, timers, random, prefix, wait, timeout, listener } = options;
   let stopped = false;
   let failures = 0;
--- a/packages/store/src/__tests__/unit/StoreClient.test.ts
+++ b/packages/store/src/__tests__/unit/StoreClient.test.ts
@@ -28,7 +28,7 @@
     // swap, its answer is lost. Cause: no answer is not a refusal; the outcome must say unknown.
     const { timers, platform, client } = createStand();
     const port = client.forUse('claims');
-    platform.decideNext('a', 'swap', { kind: 'lost-answer' });
+    platform.injectFault('a', 'swap', { kind: 'lost-answer' });
     const outcomes = Promise.all([
       port.swap('k', 0, 'first', { timeout: 100 }),
       port.swap('other', 3, 'x', { timeout: 100 }),
@@ -54,12 +54,12 @@
     });
     await timers.advanceToAsync(60_000);
     const calls = platform.countCalls().reads;
-    expect(client.isHeldBack()).to.equal(true);
+    expect(client.isCircuitOpen()).to.equal(true);
     expect(calls).to.be.below(45);
     platform.setFaults({ outage: false });
     await timers.advanceToAsync(66_000);
     undo();
-    expect(client.isHeldBack()).to.equal(false);
+    expect(client.isCircuitOpen()).to.equal(false);
   });
 
   it('keeps the fleet within the rates and claims before housekeeping', async () => {
--- a/packages/store/src/__tests__/unit/StoreHelpers.test.ts
+++ b/packages/store/src/__tests__/unit/StoreHelpers.test.ts
@@ -53,7 +53,7 @@
     // Symptom: a submission is stored, its caller is told that it failed. Sequence: the swap takes
     // effect, its answer is lost. Cause: no read-back of the write's id.
     const stand = createStand();
-    stand.platform.decideNext('a', 'swap', { kind: 'lost-answer' });
+    stand.platform.injectFault('a', 'swap', { kind: 'lost-answer' });
     const settled = startSwap(stand, 5000);
     await stand.timers.advanceToAsync(5000);
     expect(await settled).to.deep.equal({ kind: 'done', revision: 1 });
@@ -63,8 +63,8 @@
     // Symptom: "not stored" is said of a write that appears later. Sequence: the write is late, the
     // value is read and is unchanged, then the write lands. Cause: a look taken for a fence.
     const stand = createStand();
-    stand.platform.decideNext('a', 'swap', { kind: 'late', delay: 700 });
-    stand.platform.decideNext('a', 'swap', { kind: 'lost-call' });
+    stand.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
+    stand.platform.injectFault('a', 'swap', { kind: 'lost-call' });
     const short = startSwap(stand, 150);
     await stand.timers.advanceToAsync(300);
     expect(await short).to.deep.equal({ kind: 'open' });
@@ -74,7 +74,7 @@
 
   it('closes out a late write by a success from the same revision', async () => {
     const stand = createStand();
-    stand.platform.decideNext('a', 'swap', { kind: 'late', delay: 700 });
+    stand.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
     const settled = startSwap(stand, 5000);
     await stand.timers.advanceToAsync(5000);
     expect(await settled).to.deep.equal({ kind: 'done', revision: 1 });
--- a/packages/store/src/__tests__/unit/StoreFollow.test.ts
+++ b/packages/store/src/__tests__/unit/StoreRangeWatch.test.ts
@@ -2,7 +2,7 @@
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createFakeRangeStore } from '../../FakeRangeStore.js';
-import { registerFollow } from '../../StoreFollow.js';
+import { registerRangeWatch } from '../../StoreRangeWatch.js';
 
 function createBed() {
   const timers = createVirtualTimers();
@@ -10,7 +10,7 @@
   const known = new Map<string, string>();
   const heard: string[] = [];
   const follow = (gatherTime = 120) =>
-    registerFollow({
+    registerRangeWatch({
       port: store,
       timers,
       random: createRandom(1),
@@ -38,7 +38,7 @@
   return { timers, store, known, heard, follow };
 }
 
-describe('StoreFollow', () => {
+describe('StoreRangeWatch', () => {
   it('reads all pages of a range and then hears its changes, and no others', async () => {
     const { timers, store, known, follow } = createBed();
     Array.from({ length: 25 }, (_, i) => store.put(`a/${i}`, `${i}`));
@@ -102,12 +102,12 @@
     store.put('a/1', 'old');
     const stop = follow();
     await timers.advanceToAsync(50);
-    store.setUp(false);
+    store.setAvailable(false);
     await timers.advanceToAsync(1500);
     store.remove('a/1');
     store.put('a/2', 'new');
     store.compact();
-    store.setUp(true);
+    store.setAvailable(true);
     await timers.advanceToAsync(3500);
     expect([...known.keys()]).to.deep.equal(['a/2']);
     expect(heard.filter((what) => what === 'snapshot')).to.have.length(2);
@@ -119,10 +119,10 @@
     store.put('a/1', 'x');
     const stop = follow();
     await timers.advanceToAsync(50);
-    store.setUp(false);
+    store.setAvailable(false);
     await timers.advanceToAsync(5000);
     expect(known.get('a/1')).to.equal('x');
-    store.setUp(true);
+    store.setAvailable(true);
     await timers.advanceToAsync(6000);
     expect(heard).to.deep.equal(['snapshot', 'lost', 'regained']);
     stop();
