--- a/packages/claims/src/ClaimErrors.ts
+++ b/packages/claims/src/ClaimErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the claims package; errors from below are turned into these. */
+/** Errors of the claims package. Errors of lower layers are wrapped in them. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Base class of all errors that this package throws. */
 export const ClaimError = SkylarkError.subclass('ClaimError');
--- a/packages/claims/src/ClaimHead.ts
+++ b/packages/claims/src/ClaimHead.ts
@@ -1,45 +1,45 @@
 /**
- * What a slot keeps in the platform's service. The head is one value: epoch, owner, the claims of the
- * open segment, and the names of the sealed segments. A sealed segment is a value that never changes
- * under a name that only one epoch's owner can write.
+ * What a slot stores in the platform's store. The head is one value: epoch, owner, the claims of the
+ * open segment, and references to the sealed segments. A sealed segment is an immutable value; its name
+ * contains the epoch, so only the owner of that epoch can write it.
  */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import { ClaimError } from './ClaimErrors.js';
 
-/** A claim: the key's hash, and the one ask that may dispatch it. */
+/** A claim on a key. Only the claim request with the id `askId` may be dispatched. */
 export interface SlotClaim {
   readonly keyHash: string;
   readonly fingerprint: string;
-  /** Time that the key carries; null if it has none, and then the claim is kept for good. */
+  /** Timestamp contained in the key; null if there is none, and then the claim never expires. */
   readonly stamp: number | null;
   readonly askId: string;
-  /** How it ended, if that was known before the segment was sealed. */
+  /** Final run state, if it was known before the segment was sealed. */
   readonly outcome: RunStateName | null;
 }
 
-/** A sealed segment as the head names it. */
+/** The head's reference to a sealed segment. */
 export interface SegmentRef {
   readonly name: string;
   readonly count: number;
-  /** Newest time that a key in it carries; null if its keys carry none. */
+  /** Newest timestamp of a key in the segment; null if its keys contain none. */
   readonly newest: number | null;
 }
 
 export interface SlotHead {
-  /** Rises with every owner. */
+  /** Incremented by each new owner. */
   readonly epoch: number;
   readonly owner: string;
-  /** Unique to one write; finding it proves that the write took effect. */
+  /** Unique to one write; reading it back proves that the write took effect. */
   readonly writeId: string;
-  /** Keys that carry a time before this are refused; claims of such keys may be gone. */
+  /** Keys with an earlier timestamp are refused, since their claims may have been deleted. */
   readonly floor: number;
   readonly segments: readonly SegmentRef[];
-  /** Asks in sealed segments whose claims were given back. */
+  /** Ids of claim requests in sealed segments whose claims were released. */
   readonly withdrawn: readonly string[];
   readonly claims: readonly SlotClaim[];
 }
 
-/** Head of a slot that nobody has used. */
+/** Head of a slot that has never been used. */
 export const EMPTY_HEAD: SlotHead = {
   epoch: 0,
   owner: '',
@@ -72,7 +72,7 @@
   });
 }
 
-/** Reads a head; the empty value stands for a slot that does not exist yet. */
+/** Decodes a head. The empty value means that the slot has not been stored yet. */
 export function decodeHead(value: string): SlotHead {
   if (value === '') {
     return EMPTY_HEAD;
@@ -106,8 +106,8 @@
 }
 
 /**
- * What `decode` reads, or null if the value is not of its shape. A value that somebody else spoiled
- * must not end the process: each next owner of the slot would end in the same way.
+ * Returns the decoded value, or null if `decode` throws. A value that was corrupted from outside must
+ * not crash the process: every later owner of the slot would crash in the same way.
  */
 export function tryDecode<T>(decode: (value: string) => T, value: string): T | null {
   try {
@@ -121,6 +121,6 @@
   try {
     return JSON.parse(value);
   } catch (err) {
-    throw new ClaimError('a slot holds a value that is no JSON', { cause: err });
+    throw new ClaimError('stored claim slot value is not valid JSON', { cause: err });
   }
 }
--- a/packages/claims/src/ClaimKey.ts
+++ b/packages/claims/src/ClaimKey.ts
@@ -1,6 +1,6 @@
 /**
- * A caller's key: its hash, its slot, and the time that it carries if it is of a form that has one
- * (UUID version 7 or ULID). That time is part of the key, so it never changes between resends.
+ * Hash, slot and timestamp of a caller's idempotency key. Only a UUID version 7 or a ULID contains a
+ * timestamp. It is part of the key, so it is the same in every resend.
  */
 import { hash32, hash64Hex } from '@skylarksail/core/CoreHash';
 import type { TeamId } from '@skylarksail/core/CoreTypes';
@@ -10,21 +10,21 @@
 const ULID_TIME_DIGITS = 10;
 const ULID_ALPHABET = '0123456789ABCDEFGHJKMNPQRSTVWXYZ';
 
-/** What the claims know a key by. */
+/** The parts of an idempotency key that claims use. */
 export interface ClaimKey {
   readonly hash: string;
   readonly slot: number;
-  /** Milliseconds since 1970 that the key carries; null for an opaque key. */
+  /** Timestamp contained in the key, in milliseconds since 1970; null for an opaque key. */
   readonly stamp: number | null;
 }
 
-/** Finds a key's slot and hash; teams do not share keys. */
+/** Computes a key's hash and slot. Both include the team, so teams cannot collide on a key. */
 export function createClaimKey(team: TeamId, key: string, slots: number): ClaimKey {
   const full = `${team}\u0000${key}`;
   return { hash: hash64Hex(full), slot: hash32(full) % slots, stamp: readKeyStamp(key) };
 }
 
-/** The time that a key carries, or null. */
+/** Returns the timestamp contained in a UUID version 7 or ULID, or null for any other key. */
 export function readKeyStamp(key: string): number | null {
   const uuid = UUID_V7.exec(key);
   if (uuid) {
--- a/packages/claims/src/ClaimMessages.ts
+++ b/packages/claims/src/ClaimMessages.ts
@@ -1,8 +1,8 @@
-/** What instances tell each other about claims, whatever carries it. */
+/** Messages between instances about claims, independent of the transport. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { ClaimRecord } from './ClaimPort.js';
 
-/** An ask on its way to the slot's owner. Asking again with the same id does no harm. */
+/** A claim request sent to the slot's owner, identified by `askId`. Resending it is idempotent. */
 export interface PeerClaimRequest {
   readonly askId: string;
   readonly keyHash: string;
@@ -13,7 +13,7 @@
 
 export type ClaimPeerMessage =
   | { readonly kind: 'claim-ask'; readonly slot: number; readonly ask: PeerClaimRequest }
-  /** The sender will never dispatch the ask. */
+  /** The sender will never dispatch the request. */
   | {
       readonly kind: 'claim-release';
       readonly slot: number;
@@ -26,10 +26,10 @@
       readonly askId: string;
       readonly record: ClaimRecord;
     }
-  /** Asks the instance that a claim names what became of it. */
+  /** Queries the instance that holds a claim for the state of its request. */
   | { readonly kind: 'claim-query'; readonly askId: string };
 
-/** What the owner of a slot answers to an ask. */
+/** The slot owner's answer to a claim request. */
 export type OwnerAnswer =
   | { readonly kind: 'granted' }
   | { readonly kind: 'running'; readonly instance: string | null }
@@ -39,13 +39,13 @@
   | { readonly kind: 'unavailable'; readonly retryAfter: Millis }
   | { readonly kind: 'not-owner'; readonly owner: string };
 
-/** What the holder of a claim knows of it. */
+/** State of a claimed request, as the instance that holds the claim reports it. */
 export type HolderState =
   | { readonly kind: 'running' }
-  /** It was never dispatched and never will be. */
+  /** The request was never dispatched and never will be. */
   | { readonly kind: 'never' }
   | { readonly kind: 'ended'; readonly record: ClaimRecord }
-  /** Another process made the ask, or it was too long ago. */
+  /** Another process made the request, or its record has been evicted. */
   | { readonly kind: 'unknown' };
 
 export type ClaimPeerReply =
@@ -53,12 +53,12 @@
   | { readonly kind: 'claim-holder'; readonly state: HolderState }
   | { readonly kind: 'claim-noted' };
 
-/** Names a process: the instance, and what tells its starts apart. */
+/** Joins the instance id with the boot id, which differs for each start of the instance. */
 export function createProcessName(instance: string, bootId: string): string {
   return `${instance}#${bootId}`;
 }
 
-/** The instance of a process. */
+/** Returns the instance id in a process name. */
 export function readInstance(processName: string): string {
   return processName.slice(0, processName.lastIndexOf('#'));
 }
@@ -67,7 +67,7 @@
   return `${processName}/${number.toString(36)}`;
 }
 
-/** The process that made an ask, the only one that may dispatch it. */
+/** Returns the name of the process that made a claim request; only that process may dispatch it. */
 export function readProcessName(askId: string): string {
   return askId.slice(0, askId.lastIndexOf('/'));
 }
--- a/packages/claims/src/ClaimOwner.ts
+++ b/packages/claims/src/ClaimOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the slots of one instance: feeds their state machines with asks, answers of the platform's
- * service and time, and carries out what they want. A slot is taken when the first ask for it comes.
+ * Runs the claim slots of one instance: passes claim requests, store results and timer ticks to their
+ * state machines and executes the resulting effects. A slot is acquired on the first request for it.
  */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -22,15 +22,15 @@
 } from './ClaimSlotTypes.js';
 
 export interface ClaimOwnerOptions {
-  /** Name of this process, unique to one start of it. */
+  /** Name of this process; differs for each start of the instance. */
   readonly processName: string;
   readonly platform: StorePort;
-  /** The port for removing segments that nothing names any more. */
+  /** Store port for removing segments that are no longer referenced. */
   readonly housekeeping: StorePort;
   readonly timers: TimerService;
-  /** Milliseconds since 1970; only retention looks at it. */
+  /** Milliseconds since 1970; used for retention only. */
   readonly wallClock: () => number;
-  /** Slots of the whole fleet; the same for every instance, for good. */
+  /** Number of slots in the fleet; must be the same on every instance and never change. */
   readonly slots: number;
   readonly settings?: ClaimSlotSettings;
 }
@@ -39,26 +39,29 @@
   ask(slot: number, ask: SlotClaimRequest): Promise<SlotReply>;
   release(slot: number, askId: string, keyHash: string): void;
   settle(slot: number, askId: string, outcome: RunStateName): void;
-  /** Part of all slots that this instance owns or is taking, for its part of the budget. */
+  /**
+   * Share of all slots that this instance owns or is acquiring. It determines the instance's share of the
+   * budget for store calls.
+   */
   getSlotShare(): number;
-  /** State of a slot, for metrics and tests. */
+  /** State of a slot for metrics and tests; undefined if this instance has never used the slot. */
   getSlot(slot: number): ClaimSlotState | undefined;
-  /** Stops all work; asks that wait are told that the slot is not ours. */
+  /** Stops all work. Waiting requests are answered with `not-owner`. */
   stop(): void;
 }
 
 const CALL_TIMEOUT_MS = 1000;
-/** A slot that was taken is looked through for left-over segments after this time. */
-const COLLECT_AFTER_MS = 30_000;
+/** Delay from acquiring a slot to the removal of its orphaned segments. */
+const ORPHAN_CLEANUP_DELAY_MS = 30_000;
 
 interface RunningSlot {
   state: ClaimSlotState;
   readonly replies: Map<string, ((reply: SlotReply) => void)[]>;
-  cancelWake: Unregister;
-  cancelCollect: Unregister;
+  cancelTick: Unregister;
+  cancelCleanup: Unregister;
 }
 
-/** Creates the owner of no slots. */
+/** Creates a claim owner that does not own any slot yet. */
 export function createClaimOwner(options: ClaimOwnerOptions): ClaimOwner {
   const { processName, platform, housekeeping, timers, wallClock, slots } = options;
   const settings = options.settings ?? DEFAULT_SLOT_SETTINGS;
@@ -66,7 +69,7 @@
   const callOptions = { timeout: CALL_TIMEOUT_MS };
   let stopped = false;
 
-  function openSlot(slot: number): RunningSlot {
+  function getOrCreateSlot(slot: number): RunningSlot {
     const known = running.get(slot);
     if (known) {
       return known;
@@ -74,8 +77,8 @@
     const created: RunningSlot = {
       state: createClaimSlot(slot, processName, settings),
       replies: new Map(),
-      cancelWake: () => undefined,
-      cancelCollect: () => undefined,
+      cancelTick: () => undefined,
+      cancelCleanup: () => undefined,
     };
     running.set(slot, created);
     return created;
@@ -85,22 +88,22 @@
     if (stopped) {
       return;
     }
-    const target = openSlot(slot);
+    const target = getOrCreateSlot(slot);
     const wasHeld = target.state.phase === SlotPhase.Held;
     const step = stepSlot(target.state, event, { now: timers.now(), wall: wallClock() });
     target.state = step.state;
     if (!wasHeld && step.state.phase === SlotPhase.Held) {
-      target.cancelCollect();
-      target.cancelCollect = timers.registerTimeout(COLLECT_AFTER_MS, () => {
-        void collect(target);
+      target.cancelCleanup();
+      target.cancelCleanup = timers.registerTimeout(ORPHAN_CLEANUP_DELAY_MS, () => {
+        void removeOrphans(target);
       });
     }
     step.effects.forEach((effect) => runEffect(target, effect));
-    target.cancelWake();
-    const wakeAt = getNextTickTime(target.state);
-    if (wakeAt !== null) {
-      const delay = Math.max(0, wakeAt - timers.now());
-      target.cancelWake = timers.registerTimeout(delay, () => dispatch(slot, { kind: 'tick' }));
+    target.cancelTick();
+    const tickAt = getNextTickTime(target.state);
+    if (tickAt !== null) {
+      const delay = Math.max(0, tickAt - timers.now());
+      target.cancelTick = timers.registerTimeout(delay, () => dispatch(slot, { kind: 'tick' }));
     }
   }
 
@@ -134,14 +137,14 @@
         void removeSegment(key(effect.name));
         break;
       default:
-        answer(target, effect.askId, effect.reply);
+        sendReply(target, effect.askId, effect.reply);
     }
   }
 
   /**
-   * Removes a segment that no head names any more; if this fails the value only takes room. Services
-   * differ in how they count revisions, so it is read first: with a guessed one each removal met a
-   * conflict at a service that counts over all its keys, and segments stayed for ever.
+   * Removes a segment that no head refers to any more. A failed removal only wastes storage. The revision
+   * is read first because stores number revisions differently: if a store counts them across all keys, a
+   * guessed revision always conflicts and the segment is never removed.
    */
   async function removeSegment(segmentKey: string): Promise<void> {
     const found = await housekeeping.get(segmentKey, callOptions);
@@ -150,8 +153,8 @@
     }
   }
 
-  /** Removes left-over segments once after the slot was taken; what fails is left to the next owner. */
-  async function collect(target: RunningSlot): Promise<void> {
+  /** Removes orphaned segments once after the slot was acquired. If this fails, the next owner does it. */
+  async function removeOrphans(target: RunningSlot): Promise<void> {
     const { slot } = target.state;
     const prefix = getSlotKey(slots, slot, '');
     const listed = await housekeeping.list(prefix, callOptions);
@@ -165,7 +168,7 @@
     }
   }
 
-  function answer(target: RunningSlot, askId: string, reply: SlotReply): void {
+  function sendReply(target: RunningSlot, askId: string, reply: SlotReply): void {
     const listeners = target.replies.get(askId) ?? [];
     target.replies.delete(askId);
     listeners.forEach((listener) => listener(reply));
@@ -178,7 +181,7 @@
           resolve({ kind: 'not-owner', owner: '' });
           return;
         }
-        const { replies } = openSlot(slot);
+        const { replies } = getOrCreateSlot(slot);
         replies.set(ask.askId, [...(replies.get(ask.askId) ?? []), resolve]);
         dispatch(slot, { kind: 'ask', ask });
       });
@@ -193,17 +196,20 @@
     stop() {
       stopped = true;
       for (const target of running.values()) {
-        target.cancelWake();
-        target.cancelCollect();
+        target.cancelTick();
+        target.cancelCleanup();
         [...target.replies.keys()].forEach((askId) =>
-          answer(target, askId, { kind: 'not-owner', owner: '' }),
+          sendReply(target, askId, { kind: 'not-owner', owner: '' }),
         );
       }
     },
   };
 }
 
-/** Key of a slot's value. The number of slots is part of it: another number is another set. */
+/**
+ * Returns the store key of a value of a slot. The key includes the number of slots, so that a different
+ * number uses a separate set of slots.
+ */
 export function getSlotKey(slots: number, slot: number, name: string): string {
   return `claims/${slots}/${slot}/${name}`;
 }
--- a/packages/claims/src/ClaimPort.ts
+++ b/packages/claims/src/ClaimPort.ts
@@ -1,42 +1,42 @@
-/** The port through which requests claim the right to run, once, what must not run twice. */
+/** Port through which a request that must not run twice claims the right to run once. */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import type { Millis, RequestId, TeamId } from '@skylarksail/core/CoreTypes';
 
-/** Asks for the right to run a keyed, non-idempotent request. */
+/** A claim request: asks for the right to run a non-idempotent request that has an idempotency key. */
 export interface ClaimRequest {
   readonly team: TeamId;
   readonly key: string;
-  /** Hash of what is asked for; the same key with other content is refused. */
+  /** Hash of the request's content; the same key with different content is refused. */
   readonly fingerprint: string;
   readonly request: RequestId;
   readonly timeLeft: Millis;
 }
 
-/** What is kept of a request that ended, so that a resend is told the same. */
+/** Result of a finished request, kept so that a resend gets the same result. */
 export interface ClaimRecord {
   readonly run: RunStateName;
-  /** The answer as the caller got it, while it is held; null once it is not. */
+  /** The response that the caller got; null once it is no longer stored. */
   readonly answer: string | null;
 }
 
 export type ClaimOutcome =
-  /** This request, and no other, may be sent, once. */
+  /** Only this request may be sent, and only once. */
   | { readonly kind: 'granted'; readonly token: string }
-  /** An earlier request has the key and still runs, at that instance if it is known. */
+  /** An earlier request with the key is still running; `instance` is null if it is not known where. */
   | { readonly kind: 'running'; readonly instance: string | null }
-  /** An earlier request has the key and has ended, or nobody can tell how it ended. */
+  /** An earlier request with the key has finished, or its state cannot be determined. */
   | { readonly kind: 'ended'; readonly record: ClaimRecord }
-  /** The key was used for other content. Nothing ran now. */
+  /** The key was used with different content. This request did not run. */
   | { readonly kind: 'key-mismatch' }
-  /** The key is too old to tell whether it ran. Nothing ran now. */
+  /** The key is too old to determine whether it was used before. This request did not run. */
   | { readonly kind: 'key-expired' }
-  /** No claim could be made in time. Nothing ran. */
+  /** No claim could be stored in time. This request did not run. */
   | { readonly kind: 'unavailable'; readonly retryAfter: Millis };
 
 export interface ClaimPort {
   claim(ask: ClaimRequest): Promise<ClaimOutcome>;
-  /** Says how a granted request ended. Best effort: safety does not hang on it. */
+  /** Reports the result of a granted request. Best effort: at-most-once execution does not depend on it. */
   settle(token: string, record: ClaimRecord): void;
-  /** Gives a claim back that was granted and proven not to have run. */
+  /** Releases a granted claim whose request provably did not run. */
   release(token: string): void;
 }
--- a/packages/claims/src/ClaimRecords.ts
+++ b/packages/claims/src/ClaimRecords.ts
@@ -1,15 +1,16 @@
 /**
- * What this process knows of asks: those it made itself, and outcomes that it was told as the owner of
- * a slot. Bounded in number and bytes; the oldest go first, and then "unknown" is the truth.
+ * In-memory states of claim requests: those that this process made, and results reported to it as the
+ * owner of a slot. Bounded in entries and bytes; the oldest records are evicted first and are reported
+ * as `unknown` from then on.
  */
 import type { HolderState } from './ClaimMessages.js';
 import type { ClaimRecord } from './ClaimPort.js';
 
 export interface ClaimRecordLimits {
   readonly entries: number;
-  /** Bytes of all answers held. */
+  /** Maximum total size of the stored responses. */
   readonly bytes: number;
-  /** A longer answer is not held; its outcome is. */
+  /** Maximum size of one response. Of a request with a longer one, only the run state is stored. */
   readonly answerBytes: number;
 }
 
@@ -27,7 +28,6 @@
   countBytes(): number;
 }
 
-/** Creates an empty memory. */
 export function createClaimRecords(limits: ClaimRecordLimits): ClaimRecords {
   const states = new Map<string, HolderState>();
   let bytes = 0;
--- a/packages/claims/src/ClaimRouter.ts
+++ b/packages/claims/src/ClaimRouter.ts
@@ -1,7 +1,7 @@
 /**
- * Claims as requests use them: finds the owner of the key's slot, asks it, asks again after a change
- * of owner, and answers what peers want to know. An ask keeps its id however often it is sent, and
- * this process dispatches it at most once: when `claim` settles as granted.
+ * Routes claim requests to the owner of the key's slot, retries them after a change of owner, and
+ * handles claim messages from peers. A claim request keeps its id across retries, and this process
+ * dispatches it at most once: when `claim` resolves to `granted`.
  */
 import { RunState } from '@skylarksail/core/CoreConstants';
 import { hash64Hex, selectOwners } from '@skylarksail/core/CoreHash';
@@ -29,7 +29,7 @@
 } from './ClaimRecords.js';
 import type { SlotReply } from './ClaimSlotTypes.js';
 
-/** Carries a message to another instance; rejects if no reply comes. */
+/** Sends a message to another instance; rejects if there is no reply. */
 export type SendToPeer = (
   instance: InstanceId,
   message: ClaimPeerMessage,
@@ -37,11 +37,11 @@
 
 export interface ClaimRouterOptions {
   readonly instance: InstanceId;
-  /** Tells the starts of this instance apart; random, and never used again. */
+  /** Random id of this start of the instance; never reused. */
   readonly bootId: string;
   readonly owner: ClaimOwner;
   readonly slots: number;
-  /** Live instances as far as is known, ourselves included. Nothing that must be safe rests on it. */
+  /** Instances known to be live, including this one. At-most-once execution does not depend on it. */
   readonly getLiveInstances: () => readonly InstanceId[];
   readonly sendToPeer: SendToPeer;
   readonly timers: TimerService;
@@ -50,17 +50,20 @@
 }
 
 export interface ClaimRouter extends ClaimPort {
-  /** Answers a message of another instance. */
+  /** Handles a message from another instance. */
   handleMessage(message: ClaimPeerMessage): Promise<ClaimPeerReply>;
 }
 
-/** Time after which an ask is sent again, perhaps to a new owner. */
-const ASK_TIMEOUT_MS = 2000;
+/** Timeout of one claim request to an owner; the retry may go to a new owner. */
+const OWNER_TIMEOUT_MS = 2000;
 const QUERY_TIMEOUT_MS = 500;
-const RETRY_PAUSE_MS = 60;
+const RETRY_DELAY_MS = 60;
 const RETRY_AFTER_MS = 1000;
-/** A slot that names too many withdrawn asks takes out no more for a while. */
-const RELEASE_TRIES = 3;
+/**
+ * Maximum number of attempts to get a key whose holder never dispatched its request. The attempts are
+ * limited because a slot whose list of withdrawn claims is full releases no more until the list shrinks.
+ */
+const MAX_RELEASE_TRIES = 3;
 const FINGERPRINT_DIGITS = 8;
 
 interface GrantedClaim {
@@ -68,20 +71,23 @@
   readonly keyHash: string;
 }
 
-/** Creates the claims' face of an instance. */
+/** Creates the claim router of an instance. */
 export function createClaimRouter(options: ClaimRouterOptions): ClaimRouter {
   const { instance, owner, slots, getLiveInstances, sendToPeer, timers, random } = options;
   const processName = createProcessName(instance, options.bootId);
   const records = createClaimRecords(options.recordLimits ?? DEFAULT_RECORD_LIMITS);
   const granted = new Map<string, GrantedClaim>();
-  let nextAsk = 1;
+  let nextRequestNumber = 1;
 
   function send(target: InstanceId, message: ClaimPeerMessage): Promise<ClaimPeerReply> {
     return target === instance ? handleMessage(message) : sendToPeer(target, message);
   }
 
-  /** Sends without waiting for the outcome; what is lost is found out by a query later. */
-  function tell(slot: number, message: ClaimPeerMessage): void {
+  /**
+   * Sends a message to the slot's owner without waiting for a reply. If the message is lost, the owner gets
+   * the same information from a later query.
+   */
+  function sendBestEffort(slot: number, message: ClaimPeerMessage): void {
     const target = findOwner(slot);
     if (target !== undefined) {
       send(target, message).catch(() => undefined);
@@ -98,7 +104,7 @@
     });
   }
 
-  /** The reply, or null if none came in time. */
+  /** Resolves to the reply, or to null on failure or timeout. */
   function sendWithin(
     target: InstanceId,
     message: ClaimPeerMessage,
@@ -114,7 +120,7 @@
     });
   }
 
-  async function askOwner(
+  async function requestFromOwner(
     key: ClaimKey,
     ask: Omit<PeerClaimRequest, 'timeLeft'>,
     deadline: Millis,
@@ -126,56 +132,58 @@
       if (target !== undefined) {
         const timeLeft = deadline - timers.now();
         const message = { kind: 'claim-ask', slot: key.slot, ask: { ...ask, timeLeft } } as const;
-        const reply = await sendWithin(target, message, Math.min(ASK_TIMEOUT_MS, timeLeft));
+        const reply = await sendWithin(target, message, Math.min(OWNER_TIMEOUT_MS, timeLeft));
         const answer = reply?.kind === 'claim-answer' ? reply.answer : null;
         if (answer && answer.kind !== 'not-owner') {
           return answer;
         }
-        hint = chooseHint(answer, target);
+        hint = getOwnerHint(answer, target);
       }
-      await sleep(jitter(random, RETRY_PAUSE_MS, 0.5));
+      await sleep(jitter(random, RETRY_DELAY_MS, 0.5));
     }
     return { kind: 'unavailable', retryAfter: RETRY_AFTER_MS };
   }
 
-  function chooseHint(answer: OwnerAnswer | null, asked: InstanceId): InstanceId | null {
+  function getOwnerHint(answer: OwnerAnswer | null, askedInstance: InstanceId): InstanceId | null {
     if (answer?.kind !== 'not-owner') {
       return null;
     }
-    const named = readInstance(answer.owner);
-    return named !== asked && getLiveInstances().includes(named) ? named : null;
+    const ownerInstance = readInstance(answer.owner);
+    return ownerInstance !== askedInstance && getLiveInstances().includes(ownerInstance)
+      ? ownerInstance
+      : null;
   }
 
   async function claim(ask: ClaimRequest): Promise<ClaimOutcome> {
     const key = createClaimKey(ask.team, ask.key, slots);
-    const askId = createAskId(processName, nextAsk);
-    nextAsk += 1;
+    const askId = createAskId(processName, nextRequestNumber);
+    nextRequestNumber += 1;
     records.setRunning(askId);
-    const peerAsk = {
+    const peerRequest = {
       askId,
       keyHash: key.hash,
       fingerprint: hash64Hex(ask.fingerprint).slice(0, FINGERPRINT_DIGITS),
       stamp: key.stamp,
     };
     const deadline = timers.now() + ask.timeLeft;
-    const answer = await askOwner(key, peerAsk, deadline);
+    const answer = await requestFromOwner(key, peerRequest, deadline);
     if (answer.kind === 'granted' && timers.now() < deadline) {
       granted.set(askId, { slot: key.slot, keyHash: key.hash });
       return { kind: 'granted', token: askId };
     }
-    // From here on this ask is never dispatched, whatever reply comes yet.
+    // From here on this claim request is never dispatched, whatever reply still arrives.
     records.setNeverDispatched(askId);
     if (answer.kind === 'granted' || answer.kind === 'unavailable') {
-      tell(key.slot, { kind: 'claim-release', slot: key.slot, askId, keyHash: key.hash });
+      sendBestEffort(key.slot, { kind: 'claim-release', slot: key.slot, askId, keyHash: key.hash });
     }
     return answer.kind === 'granted' || answer.kind === 'not-owner'
       ? { kind: 'unavailable', retryAfter: RETRY_AFTER_MS }
       : answer;
   }
 
-  async function handleAsk(slot: number, ask: PeerClaimRequest): Promise<OwnerAnswer> {
+  async function handleClaimRequest(slot: number, ask: PeerClaimRequest): Promise<OwnerAnswer> {
     const deadline = timers.now() + ask.timeLeft;
-    const slotAsk = {
+    const slotRequest = {
       askId: ask.askId,
       keyHash: ask.keyHash,
       fingerprint: ask.fingerprint,
@@ -183,30 +191,33 @@
       deadline,
     };
     for (let tries = 1; ; tries++) {
-      const reply = await owner.ask(slot, slotAsk);
+      const reply = await owner.ask(slot, slotRequest);
       if (reply.kind !== 'taken') {
         return reply;
       }
       const state = await queryHolder(reply.askId);
       if (state.kind !== 'never') {
-        return describeTaken(reply, state);
+        return createTakenAnswer(reply, state);
       }
-      if (tries === RELEASE_TRIES) {
+      if (tries === MAX_RELEASE_TRIES) {
         return { kind: 'unavailable', retryAfter: RETRY_AFTER_MS };
       }
-      // Its asker gave up, and its release got lost. Without this the key would stay claimed by
-      // work that never ran.
+      // The process that made the request gave up and its release message was lost. Without this
+      // release, the key would stay claimed although nothing ran.
       owner.release(slot, reply.askId, ask.keyHash);
     }
   }
 
-  /** What is known here of an ask; one that runs is never forgotten. */
-  function describeAsk(askId: string): HolderState {
+  /**
+   * Returns the state of a claim request as recorded by this process. A granted request that is still
+   * running is never evicted.
+   */
+  function getRequestState(askId: string): HolderState {
     return granted.has(askId) ? { kind: 'running' } : records.get(askId);
   }
 
   async function queryHolder(askId: string): Promise<HolderState> {
-    const held = describeAsk(askId);
+    const held = getRequestState(askId);
     if (held.kind !== 'unknown' || readProcessName(askId) === processName) {
       return held;
     }
@@ -216,7 +227,7 @@
     }
     const reply = await sendWithin(holder, { kind: 'claim-query', askId }, QUERY_TIMEOUT_MS);
     if (reply?.kind !== 'claim-holder') {
-      // It lives, as far as is known, so its request may be running.
+      // The holder is considered live, so its request may be running.
       return { kind: 'running' };
     }
     if (reply.state.kind === 'ended') {
@@ -228,9 +239,12 @@
   async function handleMessage(message: ClaimPeerMessage): Promise<ClaimPeerReply> {
     switch (message.kind) {
       case 'claim-ask':
-        return { kind: 'claim-answer', answer: await handleAsk(message.slot, message.ask) };
+        return {
+          kind: 'claim-answer',
+          answer: await handleClaimRequest(message.slot, message.ask),
+        };
       case 'claim-query':
-        return { kind: 'claim-holder', state: describeAsk(message.askId) };
+        return { kind: 'claim-holder', state: getRequestState(message.askId) };
       case 'claim-release':
         owner.release(message.slot, message.askId, message.keyHash);
         return { kind: 'claim-noted' };
@@ -246,7 +260,7 @@
     if (held) {
       granted.delete(token);
       records.setNeverDispatched(token);
-      tell(held.slot, { kind: 'claim-release', askId: token, ...held });
+      sendBestEffort(held.slot, { kind: 'claim-release', askId: token, ...held });
     }
   }
 
@@ -259,14 +273,14 @@
     if (held) {
       granted.delete(token);
       records.setEnded(token, record);
-      tell(held.slot, { kind: 'claim-settle', slot: held.slot, askId: token, record });
+      sendBestEffort(held.slot, { kind: 'claim-settle', slot: held.slot, askId: token, record });
     }
   }
 
   return { claim, settle, release, handleMessage };
 }
 
-function describeTaken(
+function createTakenAnswer(
   taken: Extract<SlotReply, { kind: 'taken' }>,
   state: Exclude<HolderState, { kind: 'never' }>,
 ): OwnerAnswer {
--- a/packages/claims/src/ClaimSlot.ts
+++ b/packages/claims/src/ClaimSlot.ts
@@ -1,8 +1,9 @@
 /**
- * The state machine of one slot at one instance. It grants a key only once a swap that carries the
- * claim is known to have won: by its answer, or by finding its write id in the stored head. What an
- * unanswered swap did is never guessed: it is closed out by reading its id back, or by a later swap
- * from the same revision that did win. No clock is trusted: a paused owner loses its next swap.
+ * State machine of one claim slot on one instance. It grants a key only after the compare-and-swap that
+ * contains the claim is confirmed, either by its result or by reading its write id back from the stored
+ * head. The effect of a swap without a result is never guessed: it is settled by reading back its write
+ * id, or by a later successful swap from the same revision. Ownership does not depend on clocks: the next
+ * swap of an owner that was paused fails if another instance has acquired the slot.
  */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import type { StoreEntry, StoreOutcome } from '@skylarksail/store/StorePort';
@@ -32,7 +33,7 @@
   type SlotStep,
 } from './ClaimSlotTypes.js';
 
-/** A slot that is not ours yet. */
+/** Creates the state of a slot that this instance does not own. */
 export function createClaimSlot(
   slot: number,
   owner: string,
@@ -61,7 +62,7 @@
   };
 }
 
-/** Takes an event and gives the next state with what is to be done. */
+/** Applies an event and returns the next state with the effects to execute. */
 export function stepSlot(state: ClaimSlotState, event: SlotEvent, clock: SlotClock): SlotStep {
   return continueStep(
     continueStep(handleEvent(state, event, clock), answerWaiting, clock),
@@ -73,7 +74,7 @@
 function handleEvent(state: ClaimSlotState, event: SlotEvent, clock: SlotClock): SlotStep {
   switch (event.kind) {
     case 'ask':
-      return handleAsk(state, event.ask, clock);
+      return handleClaimRequest(state, event.ask, clock);
     case 'release':
       return createStep(handleRelease(state, event.askId, event.keyHash));
     case 'settle':
@@ -81,7 +82,7 @@
     case 'head-read':
       return handleHeadRead({ ...state, reading: false }, event.outcome, clock);
     case 'head-swapped':
-      return handleSwapped(state, event.outcome, clock);
+      return handleSwapResult(state, event.outcome, clock);
     case 'segment-read':
       return createStep(handleSegmentRead(state, event.name, event.outcome, clock));
     case 'segment-written':
@@ -91,9 +92,13 @@
   }
 }
 
-function handleAsk(state: ClaimSlotState, ask: SlotClaimRequest, { now }: SlotClock): SlotStep {
+function handleClaimRequest(
+  state: ClaimSlotState,
+  ask: SlotClaimRequest,
+  { now }: SlotClock,
+): SlotStep {
   if (state.released.has(ask.askId)) {
-    // Its asker gave up; this is a copy of the ask that was still on its way.
+    // The requester gave up; this is a delayed copy of its claim request.
     return {
       state,
       effects: [reply(ask.askId, { kind: 'unavailable', retryAfter: RETRY_AFTER_TIMEOUT_MS })],
@@ -135,20 +140,20 @@
   clock: SlotClock,
 ): SlotStep {
   if (outcome.kind !== 'done') {
-    return createStep(pause(state, outcome, clock));
+    return createStep(delayNextCall(state, outcome, clock));
   }
   const { revision } = outcome.value;
   const head = tryDecode(decodeHead, outcome.value.value);
   if (!head) {
-    return createStep(pause(state, { kind: 'unknown' }, clock));
+    return createStep(delayNextCall(state, { kind: 'unknown' }, clock));
   }
   if (state.unconfirmedSwaps.some((swap) => swap.writeId === head.writeId)) {
-    // A swap without an answer did take effect.
-    return adoptOwn(state, revision, head);
+    // A swap without a result did take effect.
+    return adoptOwnHead(state, revision, head);
   }
   if (state.known?.revision === revision) {
-    // This proves nothing: an unanswered swap may still be on its way. Only the next swap from this
-    // revision, once it has won, keeps the earlier ones from ever landing.
+    // An unchanged revision proves nothing: a swap without a result may still be in flight. Only a
+    // successful later swap from this revision rules out that the earlier ones take effect.
     return createStep({ ...state, needsRead: false });
   }
   const isTaking = state.phase === SlotPhase.Taking;
@@ -159,33 +164,33 @@
   return loseSlot(state, head.owner, clock);
 }
 
-function handleSwapped(
+function handleSwapResult(
   state: ClaimSlotState,
   outcome: StoreOutcome<number>,
   clock: SlotClock,
 ): SlotStep {
-  const { inFlightHead: swapping } = state;
-  const calm = { ...state, inFlightHead: null };
-  if (!swapping) {
+  const { inFlightHead } = state;
+  const afterSwap = { ...state, inFlightHead: null };
+  if (!inFlightHead) {
     return createStep(state);
   }
   if (outcome.kind === 'done') {
-    return adoptOwn(calm, outcome.value, swapping);
+    return adoptOwnHead(afterSwap, outcome.value, inFlightHead);
   }
   if (outcome.kind === 'unknown') {
-    const askIds = getAddedRequestIds(state, swapping);
-    const doubtful = [...state.unconfirmedSwaps, { writeId: swapping.writeId, askIds }];
+    const askIds = getAddedRequestIds(state, inFlightHead);
+    const unconfirmedSwaps = [...state.unconfirmedSwaps, { writeId: inFlightHead.writeId, askIds }];
     return createStep(
-      pause({ ...calm, unconfirmedSwaps: doubtful, needsRead: true }, outcome, clock),
+      delayNextCall({ ...afterSwap, unconfirmedSwaps, needsRead: true }, outcome, clock),
     );
   }
   if (outcome.reason.kind === 'conflict') {
-    return createStep({ ...calm, needsRead: true, nextCallAt: clock.now });
+    return createStep({ ...afterSwap, needsRead: true, nextCallAt: clock.now });
   }
-  return createStep(pause(calm, outcome, clock));
+  return createStep(delayNextCall(afterSwap, outcome, clock));
 }
 
-function adoptOwn(state: ClaimSlotState, revision: number, head: SlotHead): SlotStep {
+function adoptOwnHead(state: ClaimSlotState, revision: number, head: SlotHead): SlotStep {
   const { state: adopted, effects } = adoptHead(state, revision, head);
   if (state.phase !== SlotPhase.Taking) {
     return { state: adopted, effects };
@@ -194,13 +199,16 @@
   return { state: { ...adopted, phase }, effects };
 }
 
-/** Another owner has raised the epoch. What we asked for and it kept, it grants to the same asks. */
+/**
+ * Gives the slot up after another owner has incremented the epoch. Claims that this instance stored and
+ * the new owner kept are granted to the same claim requests there.
+ */
 function loseSlot(state: ClaimSlotState, owner: string, { now }: SlotClock): SlotStep {
-  const lost = createClaimSlot(state.slot, state.owner, state.settings);
+  const idle = createClaimSlot(state.slot, state.owner, state.settings);
   return {
     state: {
-      ...lost,
-      // Sealed segments never change, so what was read of them stays true.
+      ...idle,
+      // Sealed segments are immutable, so the loaded ones stay valid.
       segments: state.segments,
       nextWriteNumber: state.nextWriteNumber,
       newOwner: owner,
@@ -217,15 +225,16 @@
   clock: SlotClock,
 ): ClaimSlotState {
   const readingSegments = new Set([...state.readingSegments].filter((other) => other !== name));
-  const calm = { ...state, readingSegments };
-  // A segment that is named but not found would make claimed keys look free, so the slot waits.
+  const afterRead = { ...state, readingSegments };
+  // If a referenced segment were skipped, its claimed keys would look free. The slot therefore grants
+  // nothing until the segment is loaded.
   const isFound = outcome.kind === 'done' && outcome.value.revision > 0;
   const rows = isFound ? tryDecode(decodeClaims, outcome.value.value) : null;
   if (!rows) {
-    return pause(calm, outcome, clock);
+    return delayNextCall(afterRead, outcome, clock);
   }
   const claims = indexClaims(rows);
-  return { ...calm, segments: new Map([...state.segments, [name, claims]]) };
+  return { ...afterRead, segments: new Map([...state.segments, [name, claims]]) };
 }
 
 function handleSegmentWritten(
@@ -237,20 +246,20 @@
   if (work?.name !== name) {
     return state;
   }
-  // Nobody else writes under this name, so a conflict means that an earlier try is stored.
+  // No other process writes under this name, so a conflict means that an earlier attempt is stored.
   const isStored =
     outcome.kind === 'done' || (outcome.kind === 'refused' && outcome.reason.kind === 'conflict');
   return isStored
     ? { ...state, work: { ...work, state: 'written' } }
-    : pause({ ...state, work: { ...work, state: 'planned' } }, outcome, clock);
+    : delayNextCall({ ...state, work: { ...work, state: 'planned' } }, outcome, clock);
 }
 
-function pause(
+function delayNextCall(
   state: ClaimSlotState,
   outcome: StoreOutcome<unknown>,
   { now }: SlotClock,
 ): ClaimSlotState {
-  const asked =
+  const requestedDelay =
     outcome.kind === 'refused' && 'retryAfter' in outcome.reason ? outcome.reason.retryAfter : 0;
-  return { ...state, nextCallAt: now + Math.max(asked, state.settings.retryPause) };
+  return { ...state, nextCallAt: now + Math.max(requestedDelay, state.settings.retryPause) };
 }
--- a/packages/claims/src/ClaimSlotBatch.ts
+++ b/packages/claims/src/ClaimSlotBatch.ts
@@ -1,6 +1,6 @@
 /**
- * What the next swap of a slot writes, and what follows from a swap that is known to be stored: claims
- * put in and taken out, segments sealed, merged and let go.
+ * Builds the head that a slot's next swap writes, and applies a swap that is confirmed as stored. A batch
+ * adds and removes claims, adds sealed and merged segments, and drops expired ones.
  */
 import type { SegmentRef, SlotClaim, SlotHead } from './ClaimHead.js';
 import { isSealed } from './ClaimSlotLookup.js';
@@ -13,10 +13,16 @@
   type SlotStep,
 } from './ClaimSlotTypes.js';
 
-/** Withdrawn asks that a head names at the most; beyond it a claim given back stays claimed. */
+/**
+ * Maximum number of withdrawn claims in a head. Beyond it, a released claim in a sealed segment stays
+ * claimed.
+ */
 const WITHDRAWN_LIMIT = 500;
 
-/** Whether a swap is worth making now. */
+/**
+ * Whether a batch is due: there are waiting requests or claims to remove. While the open segment is full,
+ * waiting requests do not count, but a segment that has been written and can now be referenced does.
+ */
 export function hasBatch(state: ClaimSlotState): boolean {
   const claims = state.known?.head.claims ?? [];
   const isFull = claims.length >= state.settings.openLimit;
@@ -26,12 +32,12 @@
   return state.waiting.length > 0 || state.released.size > 0;
 }
 
-/** The head that the next batch writes, from the known one. */
+/** Builds the head that the next batch writes on top of the known one. */
 export function buildBatch(
   state: ClaimSlotState,
   known: SlotHead,
   writeId: string,
-  wall: number,
+  wallTime: number,
 ): SlotHead {
   const work = state.work?.state === 'written' ? state.work : null;
   const sealed = new Set(work?.replaces.length === 0 ? work.claims.map((c) => c.askId) : []);
@@ -40,23 +46,26 @@
     .map((claim) => ({ ...claim, outcome: state.outcomes.get(claim.askId) ?? claim.outcome }));
   const claims = [...kept, ...chooseNewClaims(state, kept)];
   const replaced = new Set(work?.replaces ?? []);
-  const aged = known.segments.filter((segment) => isAged(segment, state, wall));
+  const expired = known.segments.filter((segment) => isExpired(segment, state, wallTime));
   const segments = known.segments
-    .filter((segment) => !replaced.has(segment.name) && !aged.includes(segment))
-    .concat(work ? [nameSegment(work)] : []);
+    .filter((segment) => !replaced.has(segment.name) && !expired.includes(segment))
+    .concat(work ? [createSegmentRef(work)] : []);
   return {
     ...known,
     writeId,
     claims,
     segments,
     withdrawn: chooseWithdrawn(state, known, segments),
-    // Only just above the newest key that is let go: a wall clock far in the future then makes old
-    // keys expire early, and cannot make every later key look too old.
-    floor: aged.reduce((floor, segment) => Math.max(floor, (segment.newest ?? 0) + 1), known.floor),
+    // Just above the newest key that is dropped, not a time from the wall clock: a clock far in the
+    // future then expires old keys early but cannot make every later key look too old.
+    floor: expired.reduce(
+      (floor, segment) => Math.max(floor, (segment.newest ?? 0) + 1),
+      known.floor,
+    ),
   };
 }
 
-/** The state once `head` is known to be stored at `revision`; closes out all doubtful swaps. */
+/** Applies `head`, which is confirmed as stored at `revision`. This settles all unconfirmed swaps. */
 export function adoptHead(state: ClaimSlotState, revision: number, head: SlotHead): SlotStep {
   const names = new Set(head.segments.map((segment) => segment.name));
   const dropped = (state.known?.head.segments ?? []).filter(({ name }) => !names.has(name));
@@ -71,9 +80,9 @@
   const isStillStored = ([askId, keyHash]: readonly [string, string]): boolean =>
     open.get(keyHash)?.askId === askId ||
     (!withdrawn.has(askId) && !isFull && isSealed(state, askId, keyHash));
-  // While the slot is being taken its sealed segments are not known, so nothing can be ruled out.
+  // While the slot is being acquired, its sealed segments are not loaded, so no release can be dropped.
   const isTaking = state.phase === SlotPhase.Taking;
-  const unmarked = new Set(head.claims.filter((c) => c.outcome === null).map((c) => c.askId));
+  const withoutOutcome = new Set(head.claims.filter((c) => c.outcome === null).map((c) => c.askId));
   return {
     state: {
       ...state,
@@ -81,7 +90,7 @@
       segments,
       work: workDone ? null : state.work,
       released: isTaking ? state.released : new Map([...state.released].filter(isStillStored)),
-      outcomes: new Map([...state.outcomes].filter(([askId]) => unmarked.has(askId))),
+      outcomes: new Map([...state.outcomes].filter(([askId]) => withoutOutcome.has(askId))),
       inFlightHead: null,
       unconfirmedSwaps: [],
       needsRead: false,
@@ -90,7 +99,7 @@
   };
 }
 
-/** The next segment to seal or to merge, if it is time. */
+/** Plans the next seal or merge; null if none is due. */
 export function planSegmentWork(
   state: ClaimSlotState,
   head: SlotHead,
@@ -99,20 +108,20 @@
   return planSeal(state, head, name) ?? planMerge(state, head, name);
 }
 
-/** A segment's claims by key. */
+/** Indexes claims by key hash. */
 export function indexClaims(claims: readonly SlotClaim[]): ReadonlyMap<string, SlotClaim> {
   return new Map(claims.map((claim) => [claim.keyHash, claim]));
 }
 
 function chooseNewClaims(state: ClaimSlotState, kept: readonly SlotClaim[]): SlotClaim[] {
   const room = Math.max(0, state.settings.openLimit - kept.length);
-  const firstOfKey = new Map<string, SlotClaimRequest>();
+  const firstByKey = new Map<string, SlotClaimRequest>();
   for (const ask of state.waiting) {
-    if (!firstOfKey.has(ask.keyHash)) {
-      firstOfKey.set(ask.keyHash, ask);
+    if (!firstByKey.has(ask.keyHash)) {
+      firstByKey.set(ask.keyHash, ask);
     }
   }
-  return [...firstOfKey.values()].slice(0, room).map((ask) => ({
+  return [...firstByKey.values()].slice(0, room).map((ask) => ({
     keyHash: ask.keyHash,
     fingerprint: ask.fingerprint,
     stamp: ask.stamp,
@@ -131,11 +140,11 @@
     .map(([askId]) => askId);
   const withdrawn = [...new Set([...known.withdrawn, ...added])].slice(0, WITHDRAWN_LIMIT);
   const isShrinking = known.segments.some((segment) => !segments.includes(segment));
-  return isShrinking ? dropUnneeded(state, withdrawn, segments) : withdrawn;
+  return isShrinking ? pruneWithdrawn(state, withdrawn, segments) : withdrawn;
 }
 
-/** Forgets withdrawn asks whose claims went with a segment that was merged or let go. */
-function dropUnneeded(
+/** Drops withdrawn ids whose claims no longer exist in any segment after a merge or an expiry. */
+function pruneWithdrawn(
   state: ClaimSlotState,
   withdrawn: readonly string[],
   segments: readonly SegmentRef[],
@@ -147,15 +156,18 @@
   return withdrawn.filter((askId) => sealed.has(askId));
 }
 
-function isAged(segment: SegmentRef, state: ClaimSlotState, wall: number): boolean {
-  return segment.newest !== null && segment.newest < wall - state.settings.retention;
+function isExpired(segment: SegmentRef, state: ClaimSlotState, wallTime: number): boolean {
+  return segment.newest !== null && segment.newest < wallTime - state.settings.retention;
 }
 
-function nameSegment({ name, claims }: SegmentWork): SegmentRef {
+function createSegmentRef({ name, claims }: SegmentWork): SegmentRef {
   return { name, count: claims.length, newest: findNewest(claims) };
 }
 
-/** Segments hold either keys with a time or keys without, so that the first can be let go whole. */
+/**
+ * Returns the newest timestamp of the claims, or null if they have none. A segment contains either keys
+ * with a timestamp or keys without, so that one with timestamps can expire as a whole.
+ */
 function findNewest(claims: readonly SlotClaim[]): number | null {
   return claims.reduce<number | null>(
     (newest, { stamp }) => (stamp === null ? newest : Math.max(newest ?? 0, stamp)),
--- a/packages/claims/src/ClaimSlotCalls.ts
+++ b/packages/claims/src/ClaimSlotCalls.ts
@@ -1,4 +1,4 @@
-/** Which call to the platform's service a slot makes next, and when. One call to the head at a time. */
+/** Decides which store call a slot makes next and when. At most one call on the head is in flight. */
 import type { SlotHead } from './ClaimHead.js';
 import { buildBatch, hasBatch, planSegmentWork } from './ClaimSlotBatch.js';
 import { findUnloadedSegments } from './ClaimSlotLookup.js';
@@ -7,13 +7,16 @@
 
 const PARALLEL_SEGMENT_READS = 8;
 
-/** When the slot wants a tick, or null while it waits for an answer or has nothing to do. */
+/**
+ * Returns when the slot needs a tick: at the earliest deadline of a waiting request or for its next call.
+ * Null if neither is pending.
+ */
 export function getNextTickTime(state: ClaimSlotState): number | null {
   const deadline = state.waiting.reduce((least, ask) => Math.min(least, ask.deadline), Infinity);
   const isCalling = state.inFlightHead !== null || state.reading;
   const next = !isCalling && hasWork(state) ? state.nextCallAt : Infinity;
-  const wakeAt = Math.min(deadline, next);
-  return wakeAt === Infinity ? null : wakeAt;
+  const tickAt = Math.min(deadline, next);
+  return tickAt === Infinity ? null : tickAt;
 }
 
 function hasWork(state: ClaimSlotState): boolean {
@@ -29,7 +32,7 @@
   }
 }
 
-/** Starts the next call, if it is time and none is under way. */
+/** Starts the next call if it is due and none is in flight. */
 export function startNextCall(state: ClaimSlotState, clock: SlotClock): SlotStep {
   if (state.inFlightHead || state.reading || clock.now < state.nextCallAt || !hasWork(state)) {
     return createStep(state);
@@ -51,7 +54,7 @@
     case SlotPhase.Loading:
       return loadSegments(state, state.known.head, clock);
     default:
-      return continueStep(startWork(state, state.known.head), startBatch, clock);
+      return continueStep(startSegmentWrite(state, state.known.head), startBatch, clock);
   }
 }
 
@@ -68,15 +71,15 @@
   if (!known) {
     return createStep(state);
   }
-  const swapping = change(known.head, `${state.owner}.${state.nextWriteNumber}`);
+  const inFlightHead = change(known.head, `${state.owner}.${state.nextWriteNumber}`);
   return {
     state: {
       ...state,
-      inFlightHead: swapping,
+      inFlightHead,
       nextWriteNumber: state.nextWriteNumber + 1,
       nextCallAt: state.phase === SlotPhase.Held ? now + state.settings.batchInterval : now,
     },
-    effects: [{ kind: 'swap-head', expected: known.revision, head: swapping }],
+    effects: [{ kind: 'swap-head', expected: known.revision, head: inFlightHead }],
   };
 }
 
@@ -93,7 +96,7 @@
   };
 }
 
-function startWork(state: ClaimSlotState, head: SlotHead): SlotStep {
+function startSegmentWrite(state: ClaimSlotState, head: SlotHead): SlotStep {
   const work = state.work ?? planSegmentWork(state, head, `${head.epoch}-${state.nextWriteNumber}`);
   if (work?.state !== 'planned') {
     return createStep(state);
--- a/packages/claims/src/ClaimSlotLookup.ts
+++ b/packages/claims/src/ClaimSlotLookup.ts
@@ -1,11 +1,11 @@
-/** What a slot knows of a key. Reads only. */
+/** Read-only queries on a slot's state. */
 import type { SlotClaim, SlotHead } from './ClaimHead.js';
 import type { ClaimSlotState, SlotClaimRequest, SlotReply } from './ClaimSlotTypes.js';
 
-/** A refused key is worth another try once claims have been let go, which takes long. */
+/** Retry delay for a key refused by a full slot. It is long because claims are deleted only slowly. */
 const RETRY_WHEN_FULL_MS = 60_000;
 
-/** The claim that a key has, or null. Withdrawn claims do not count. */
+/** Returns the claim on a key, or null. Withdrawn claims do not count. */
 export function findClaim(state: ClaimSlotState, keyHash: string): SlotClaim | null {
   if (!state.known) {
     return null;
@@ -24,7 +24,7 @@
   return null;
 }
 
-/** Whether a sealed segment, or one about to be sealed, holds the ask's claim. */
+/** Whether a sealed segment, or one that is being sealed or merged, contains the claim of the request. */
 export function isSealed(state: ClaimSlotState, askId: string, keyHash: string): boolean {
   return (
     [...state.segments.values()].some((claims) => claims.get(keyHash)?.askId === askId) ||
@@ -32,41 +32,41 @@
   );
 }
 
-/** Asks whose claims a swap from the known head puts in; those that it only keeps are left out. */
+/** Returns the ids of the requests whose claims a swap adds to the known head, without those that it keeps. */
 export function getAddedRequestIds(state: ClaimSlotState, swap: SlotHead): ReadonlySet<string> {
   const open = state.known?.open;
   const added = swap.claims.filter(({ keyHash, askId }) => open?.get(keyHash)?.askId !== askId);
   return new Set(added.map((claim) => claim.askId));
 }
 
-/** Whether a swap that may still land would put the ask's claim in. */
+/** Whether a swap that may still take effect would add the claim of the request. */
 export function isInUnconfirmedSwap(state: ClaimSlotState, askId: string): boolean {
-  const { inFlightHead: swapping, unconfirmedSwaps: doubtful } = state;
+  const { inFlightHead, unconfirmedSwaps } = state;
   return (
-    (swapping !== null && getAddedRequestIds(state, swapping).has(askId)) ||
-    doubtful.some((swap) => swap.askIds.has(askId))
+    (inFlightHead !== null && getAddedRequestIds(state, inFlightHead).has(askId)) ||
+    unconfirmedSwaps.some((swap) => swap.askIds.has(askId))
   );
 }
 
-/** Claims of the slot, withdrawn ones included. */
+/** Counts the slot's claims, including withdrawn ones. */
 export function countClaims(state: ClaimSlotState): number {
   const head = state.known?.head;
   return head ? head.segments.reduce((sum, segment) => sum + segment.count, head.claims.length) : 0;
 }
 
-/** The reply to an ask from what is stored, or null if it takes a swap to tell. */
+/** Returns the reply that the stored claims determine, or null if it depends on the next swap. */
 export function createReply(state: ClaimSlotState, ask: SlotClaimRequest): SlotReply | null {
   const claim = findClaim(state, ask.keyHash);
   if (claim && state.released.has(claim.askId)) {
-    // The next batch takes that claim out, and may give the key to this ask.
+    // The next batch removes that claim and may grant the key to this request.
     return null;
   }
   if (claim) {
-    return answerClaimed(claim, ask);
+    return createReplyForClaim(claim, ask);
   }
   const floor = state.known?.head.floor ?? 0;
   if (ask.stamp !== null && ask.stamp < floor) {
-    // The key's claim may have been let go. Granting it could run the request a second time.
+    // The key's claim may have expired. Granting the key could run the request a second time.
     return { kind: 'key-expired' };
   }
   if (countClaims(state) >= state.settings.claimLimit) {
@@ -75,7 +75,7 @@
   return null;
 }
 
-function answerClaimed(claim: SlotClaim, ask: SlotClaimRequest): SlotReply {
+function createReplyForClaim(claim: SlotClaim, ask: SlotClaimRequest): SlotReply {
   if (claim.askId === ask.askId) {
     return { kind: 'granted' };
   }
@@ -85,7 +85,7 @@
   return { kind: 'taken', askId: claim.askId, outcome: claim.outcome };
 }
 
-/** Sealed segments that the head names and that are not read yet. */
+/** Names of the sealed segments that the head refers to and that are not loaded yet. */
 export function findUnloadedSegments(state: ClaimSlotState, head: SlotHead): readonly string[] {
   return head.segments.map((segment) => segment.name).filter((name) => !state.segments.has(name));
 }
--- a/packages/claims/src/ClaimSlotSteps.ts
+++ b/packages/claims/src/ClaimSlotSteps.ts
@@ -1,4 +1,4 @@
-/** Small parts that the slot's state machine is put together from: joined steps, and replies. */
+/** Building blocks of the slot's state machine: composing steps and replying to claim requests. */
 import { createReply, isInUnconfirmedSwap } from './ClaimSlotLookup.js';
 import {
   SlotPhase,
@@ -10,29 +10,33 @@
   type SlotStep,
 } from './ClaimSlotTypes.js';
 
-/** A caller that was told "not run" may come again after this time. */
+/** Retry delay for a caller whose claim request timed out; its request did not run. */
 export const RETRY_AFTER_TIMEOUT_MS = 1000;
 
-/** A part of a step. */
+/** A state transition; a step is composed of several. */
 export type SlotTransition = (state: ClaimSlotState, clock: SlotClock) => SlotStep;
 
-/** Goes on with `part` and joins the effects. */
-export function continueStep(step: SlotStep, part: SlotTransition, clock: SlotClock): SlotStep {
-  const next = part(step.state, clock);
+/** Applies `transition` to the state of `step` and appends its effects. */
+export function continueStep(
+  step: SlotStep,
+  transition: SlotTransition,
+  clock: SlotClock,
+): SlotStep {
+  const next = transition(step.state, clock);
   return { state: next.state, effects: [...step.effects, ...next.effects] };
 }
 
-/** A step without effects. */
+/** Creates a step without effects. */
 export function createStep(state: ClaimSlotState): SlotStep {
   return { state, effects: [] };
 }
 
-/** Answers an ask. */
+/** Creates the effect that replies to a claim request. */
 export function reply(askId: string, answer: SlotReply): SlotEffect {
   return { kind: 'reply', askId, reply: answer };
 }
 
-/** Replies to the asks that can be told by now: decided, or out of time. */
+/** Replies to the waiting claim requests that are decided or past their deadline. */
 export function answerWaiting(state: ClaimSlotState, { now }: SlotClock): SlotStep {
   const effects: SlotEffect[] = [];
   const waiting: SlotClaimRequest[] = [];
@@ -42,9 +46,9 @@
     if (answer) {
       effects.push(reply(ask.askId, answer));
     } else if (ask.deadline <= now) {
-      // The ask's claim may be in a swap that lands yet; the next batch must take it out again, or
-      // a resend would be told "unknown" for ever about work that never ran. Only what this owner
-      // put in itself, and never granted, may go: a claim that it finds may be running.
+      // The claim may be in a swap that still takes effect. The next batch must then remove it, or
+      // every resend would get "unknown" although nothing ran. Only a claim that this owner added and
+      // never granted may be removed: the request of a claim that it found stored may be running.
       if (isInUnconfirmedSwap(state, ask.askId)) {
         released.set(ask.askId, ask.keyHash);
       }
--- a/packages/claims/src/ClaimSlotTypes.ts
+++ b/packages/claims/src/ClaimSlotTypes.ts
@@ -1,27 +1,30 @@
-/** State, events and effects of a slot's state machine. */
+/** State, events, effects and settings of a slot's state machine. */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreEntry, StoreOutcome } from '@skylarksail/store/StorePort';
 import type { SlotClaim, SlotHead } from './ClaimHead.js';
 
 export interface ClaimSlotSettings {
-  /** Least time from the start of one batch to the next. */
+  /** Minimum time between the starts of two batches. */
   readonly batchInterval: Millis;
-  /** Pause before a call is repeated that had no answer. */
+  /** Minimum delay before a failed call is retried. */
   readonly retryPause: Millis;
-  /** Claims in the open segment at which it is sealed. */
+  /** Number of claims in the open segment at which it is sealed. */
   readonly sealAt: number;
-  /** Claims in the open segment beyond which asks wait for the seal. */
+  /** Number of claims in the open segment at which new requests wait for the seal. */
   readonly openLimit: number;
-  /** Sealed segments of about one size that are merged into one. */
+  /** Number of sealed segments of similar size that are merged into one. */
   readonly mergeAt: number;
-  /** Claims in a segment that is not merged any more; it must fit into one value. */
+  /** Maximum number of claims in a merged segment; it must fit into one stored value. */
   readonly segmentLimit: number;
-  /** Claims of a slot beyond which new keys are refused. */
+  /** Number of claims in a slot at which new keys are refused. */
   readonly claimLimit: number;
-  /** Age at which the claim of a key that carries its time may be let go. */
+  /** Age at which the claim of a key with a timestamp may be deleted. */
   readonly retention: Millis;
-  /** How long an instance that lost a slot sends asks to the new owner before it takes it again. */
+  /**
+   * How long an instance that lost a slot redirects requests to the new owner before it may acquire the
+   * slot again.
+   */
   readonly deferAfterLoss: Millis;
 }
 
@@ -37,7 +40,10 @@
   deferAfterLoss: 500,
 };
 
-/** An ask as the slot's owner sees it. `askId` names the asker and may dispatch at most once. */
+/**
+ * A claim request at the slot's owner. `askId` contains the name of the requesting process, which may
+ * dispatch the request at most once.
+ */
 export interface SlotClaimRequest {
   readonly askId: string;
   readonly keyHash: string;
@@ -48,83 +54,86 @@
 
 export type SlotReply =
   | { readonly kind: 'granted' }
-  /** Another ask has the key. */
+  /** Another claim request holds the key. */
   | { readonly kind: 'taken'; readonly askId: string; readonly outcome: RunStateName | null }
   | { readonly kind: 'key-mismatch' }
   | { readonly kind: 'key-expired' }
   | { readonly kind: 'unavailable'; readonly retryAfter: Millis }
-  /** The slot is another instance's, as far as is known. */
+  /** Another instance owns the slot, as far as this one knows. */
   | { readonly kind: 'not-owner'; readonly owner: string };
 
 export const SlotPhase = {
-  /** Not ours. */
+  /** Not owned by this instance. */
   Idle: 'idle',
-  /** Making it ours by a swap that raises the epoch. */
+  /** Acquiring the slot by a swap that increments the epoch. */
   Taking: 'taking',
-  /** Ours, but the sealed segments are not read yet, so no key can be said to be free. */
+  /** Owned, but the sealed segments are not loaded yet, so no key is known to be free. */
   Loading: 'loading',
   Held: 'held',
 } as const;
 
 export type SlotPhaseName = (typeof SlotPhase)[keyof typeof SlotPhase];
 
-/** The head that is known to have been stored, with the revision at which it was. */
+/** A head confirmed as stored, with its revision. */
 export interface KnownHead {
   readonly revision: number;
   readonly head: SlotHead;
-  /** Claims of the open segment by key. */
+  /** Claims of the open segment by key hash. */
   readonly open: ReadonlyMap<string, SlotClaim>;
 }
 
-/** A swap without an answer: it took effect, may take effect yet, or never will. */
+/** A swap without a result: it has taken effect, may still do so, or never will. */
 export interface UnconfirmedSwap {
   readonly writeId: string;
-  /** Asks whose claims it would put in. */
+  /** Ids of the requests whose claims it would add. */
   readonly askIds: ReadonlySet<string>;
 }
 
-/** A segment on its way to being sealed or merged. */
+/** A segment that is being sealed or merged. */
 export interface SegmentWork {
   readonly name: string;
   readonly claims: readonly SlotClaim[];
-  /** Segments that it takes the place of; none if it seals claims of the open segment. */
+  /** Segments that it replaces; empty if it seals claims of the open segment. */
   readonly replaces: readonly string[];
   readonly state: 'planned' | 'writing' | 'written';
 }
 
 export interface ClaimSlotState {
   readonly slot: number;
-  /** This process, unique to one start of it. */
+  /** Name of this process; differs for each start of the instance. */
   readonly owner: string;
   readonly settings: ClaimSlotSettings;
   readonly phase: SlotPhaseName;
   readonly known: KnownHead | null;
-  /** Sealed segments that were read or written here, by name. */
+  /** Sealed segments that this process has read or written, by name; each maps key hashes to claims. */
   readonly segments: ReadonlyMap<string, ReadonlyMap<string, SlotClaim>>;
   readonly waiting: readonly SlotClaimRequest[];
-  /** Asks that will never be dispatched, with their keys; their claims are still to be taken out. */
+  /**
+   * Claim requests that will never be dispatched and whose claims are still to be removed: key hashes by
+   * `askId`.
+   */
   readonly released: ReadonlyMap<string, string>;
-  /** Outcomes to be marked in the open segment with the next batch. */
+  /** Run states that the next batch records in the open segment, by `askId`. */
   readonly outcomes: ReadonlyMap<string, RunStateName>;
-  /** The head of the swap that is under way, if one is. */
+  /** The head that the swap in flight writes; null if there is none. */
   readonly inFlightHead: SlotHead | null;
   readonly reading: boolean;
   readonly readingSegments: ReadonlySet<string>;
   readonly work: SegmentWork | null;
-  /** Swaps from the known revision that had no answer: they may land at any later time. */
+  /** Swaps from the known revision without a result; they may take effect at any later time. */
   readonly unconfirmedSwaps: readonly UnconfirmedSwap[];
-  /** The known head may be out of date and must be read before the next swap. */
+  /** The known head may be stale and must be read again before the next swap. */
   readonly needsRead: boolean;
   readonly nextCallAt: Millis;
   readonly nextWriteNumber: number;
-  /** Who took the slot from us, and until when asks are sent there. */
+  /** Process that acquired the slot after this one. Requests are redirected to it until `deferUntil`. */
   readonly newOwner: string;
   readonly deferUntil: Millis;
 }
 
 export type SlotEvent =
   | { readonly kind: 'ask'; readonly ask: SlotClaimRequest }
-  /** The asker will never dispatch it, or it is proven that nothing ran. */
+  /** The requester will never dispatch it, or it provably did not run. */
   | { readonly kind: 'release'; readonly askId: string; readonly keyHash: string }
   | { readonly kind: 'settle'; readonly askId: string; readonly outcome: RunStateName }
   | { readonly kind: 'head-read'; readonly outcome: StoreOutcome<StoreEntry> }
@@ -150,7 +159,7 @@
       readonly name: string;
       readonly claims: readonly SlotClaim[];
     }
-  /** Nothing names the segment any more. */
+  /** The head no longer refers to the segment. */
   | { readonly kind: 'remove-segment'; readonly name: string }
   | { readonly kind: 'reply'; readonly askId: string; readonly reply: SlotReply };
 
@@ -159,7 +168,7 @@
   readonly effects: readonly SlotEffect[];
 }
 
-/** Time of a step: the monotonic clock, and the wall clock for retention only. */
+/** Time of a step: the monotonic clock, and the wall clock, which is used for retention only. */
 export interface SlotClock {
   readonly now: Millis;
   readonly wall: number;
--- a/packages/claims/src/FakeClaimFleet.ts
+++ b/packages/claims/src/FakeClaimFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several instances' claims over one fake platform and a fake net between them, for tests and benches.
- * An instance can be started, killed, paused with all its timers and answers, and cut off.
+ * Claim routers of several instances with one fake store and a fake network, for tests and benches. An
+ * instance can be started, killed, paused together with its timers and pending results, or disconnected.
  */
 import { createRandom, type Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -20,9 +20,9 @@
   readonly platform: FakeStore;
   readonly slots: number;
   readonly settings: ClaimSlotSettings;
-  /** Time of a message between instances, one way. */
+  /** One-way latency of a message between instances. */
   readonly peerLatency?: Millis;
-  /** Instances that the budget counts with; those of this fleet if left out. */
+  /** Number of instances that share the store call budget; by default those of this fleet. */
   readonly countInstances?: () => number;
 }
 
@@ -37,16 +37,16 @@
 
 export interface FakeClaimFleet {
   start(name: InstanceId): FakeClaimInstance;
-  /** What an instance takes to be live; the truth if it is left out. */
+  /** Overrides the instances that `viewer` considers live; null restores the actual ones. */
   setView(viewer: InstanceId, live: readonly InstanceId[] | null): void;
-  /** Decides whether a message or reply between two instances is lost. */
+  /** Sets the function that decides whether a message or reply between two instances is lost. */
   setLoss(isLost: (from: InstanceId, to: InstanceId) => boolean): void;
   getLive(): readonly InstanceId[];
 }
 
 const DEFAULT_PEER_LATENCY: Millis = 1;
 
-/** Lets everything of an instance through, holds it, or drops it. */
+/** Runs an instance's actions while open, queues them while paused, and drops them after a kill. */
 interface Gate {
   run(action: () => void): void;
   pause(): void;
@@ -54,18 +54,17 @@
   kill(): void;
 }
 
-/** Creates a fleet without instances. */
 export function createFakeClaimFleet(options: FakeClaimFleetOptions): FakeClaimFleet {
   const { timers, random, platform, slots, settings } = options;
   const peerLatency = options.peerLatency ?? DEFAULT_PEER_LATENCY;
   const live = new Map<InstanceId, { readonly router: ClaimRouter; readonly gate: Gate }>();
   const views = new Map<InstanceId, readonly InstanceId[]>();
   let isLost: (from: InstanceId, to: InstanceId) => boolean = () => false;
-  let boots = 0;
+  let bootCount = 0;
 
-  function transmit(from: InstanceId, to: InstanceId, arrive: () => void): void {
+  function transmit(from: InstanceId, to: InstanceId, deliver: () => void): void {
     if (!isLost(from, to)) {
-      timers.registerTimeout(peerLatency, arrive);
+      timers.registerTimeout(peerLatency, deliver);
     }
   }
 
@@ -95,8 +94,8 @@
   }
 
   function start(name: InstanceId): FakeClaimInstance {
-    boots += 1;
-    const bootId = `b${boots}`;
+    bootCount += 1;
+    const bootId = `b${bootCount}`;
     const gate = createGate();
     const ownTimers = gateTimers(timers, gate);
     let getSlotShare = (): number => 0;
@@ -143,9 +142,9 @@
 
   return {
     start,
-    setView(viewer, seen) {
-      if (seen) {
-        views.set(viewer, seen);
+    setView(viewer, view) {
+      if (view) {
+        views.set(viewer, view);
       } else {
         views.delete(viewer);
       }
@@ -207,20 +206,20 @@
 }
 
 function gatePlatform(port: StorePort, gate: Gate): StorePort {
-  function hold<T>(answer: Promise<T>): Promise<T> {
+  function gatePromise<T>(answer: Promise<T>): Promise<T> {
     return new Promise((resolve) => {
       void answer.then((outcome) => gate.run(() => resolve(outcome)));
     });
   }
   return {
-    get: (...args) => hold(port.get(...args)),
-    swap: (...args) => hold(port.swap(...args)),
-    remove: (...args) => hold(port.remove(...args)),
-    list: (...args) => hold(port.list(...args)),
-    watch: (...args) => hold(port.watch(...args)),
-    acquireLease: (...args) => hold(port.acquireLease(...args)),
-    renewLease: (...args) => hold(port.renewLease(...args)),
-    releaseLease: (...args) => hold(port.releaseLease(...args)),
-    listInstances: (...args) => hold(port.listInstances(...args)),
+    get: (...args) => gatePromise(port.get(...args)),
+    swap: (...args) => gatePromise(port.swap(...args)),
+    remove: (...args) => gatePromise(port.remove(...args)),
+    list: (...args) => gatePromise(port.list(...args)),
+    watch: (...args) => gatePromise(port.watch(...args)),
+    acquireLease: (...args) => gatePromise(port.acquireLease(...args)),
+    renewLease: (...args) => gatePromise(port.renewLease(...args)),
+    releaseLease: (...args) => gatePromise(port.releaseLease(...args)),
+    listInstances: (...args) => gatePromise(port.listInstances(...args)),
   };
 }
--- a/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
@@ -13,18 +13,21 @@
 
 const DAY_MS = 86_400_000;
 
-interface Stand {
+interface Fixture {
   readonly timers: VirtualTimers;
   readonly platform: FakeStore;
   readonly fleet: FakeClaimFleet;
   readonly instances: readonly FakeClaimInstance[];
-  /** The instance that owns the only slot, and one that does not. */
+  /** `owner` owns the only slot, `other` does not. */
   readonly owner: FakeClaimInstance;
   readonly other: FakeClaimInstance;
   claim(at: FakeClaimInstance, key: string, timeLeft?: number): Promise<ClaimOutcome>;
 }
 
-function createStand(settings: Partial<ClaimSlotSettings> = {}, names = ['a', 'b', 'c']): Stand {
+function createFixture(
+  settings: Partial<ClaimSlotSettings> = {},
+  names = ['a', 'b', 'c'],
+): Fixture {
   const timers = createVirtualTimers(10 * DAY_MS);
   const platform = createFakeStore({ timers, random: createRandom(1) });
   const fleet = createFakeClaimFleet({
@@ -75,19 +78,20 @@
 }
 
 describe('claims under faults', () => {
-  it('leaves no timer behind when it is stopped', async () => {
-    // Guards against a process that stays for half a minute after its stop, for a look at left-over segments.
-    const { timers, instances, owner, claim } = createStand();
+  it('cancels all timers on stop', async () => {
+    // Failure: a process keeps running for half a minute after its stop, because of the timer that removes
+    // orphaned segments.
+    const { timers, instances, owner, claim } = createFixture();
     await waitFor(timers, claim(owner, 'k'));
     instances.forEach((instance) => instance.owner.stop());
     await timers.advanceToAsync(timers.now() + 5000);
     expect(timers.countPending()).to.equal(0);
   });
 
-  it('tells a resend to another instance what became of the first', async () => {
-    // Symptom: a statement is sent twice. Sequence: the caller loses its connection and resends its
-    // key, through the balancer, to another instance. Cause: a claim known to one instance only.
-    const { timers, owner, other, instances, claim } = createStand();
+  it('answers a resend on another instance with the state of the first request', async () => {
+    // Failure: a statement is sent twice. The caller loses its connection and resends the key through the
+    // load balancer to another instance, but only the first instance knows the claim.
+    const { timers, owner, other, instances, claim } = createFixture();
     const token = getToken(await waitFor(timers, claim(other, 'k')));
     for (const instance of instances) {
       expect(await waitFor(timers, claim(instance, 'k'))).to.deep.equal({
@@ -112,10 +116,11 @@
     expect((await waitFor(timers, mismatch)).kind).to.equal('key-mismatch');
   });
 
-  it('stops an owner that was paused while another took the slot', async () => {
-    // Symptom: two instances grant one key. Sequence: the owner is paused, another takes the slot and
-    // grants; the first wakes with an ask for that key in its queue. Cause: ownership by belief.
-    const { timers, fleet, owner, other, claim } = createStand();
+  it('grants nothing at a resumed owner whose slot another instance has acquired', async () => {
+    // Failure: two instances grant the same key. The owner is paused, another instance acquires the slot
+    // and grants the key; the first resumes with a request for that key in its queue and grants it too,
+    // because it does not check its ownership against the store.
+    const { timers, fleet, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     const late = claim(owner, 'k', 60_000);
     owner.pause();
@@ -127,10 +132,10 @@
     expect(outcome.kind).to.not.equal('granted');
   });
 
-  it('grants by read-back when the answer to the swap is lost, and never twice', async () => {
-    // Symptom: a keyed request is refused although its claim is stored, and every resend is told
-    // "unknown". Sequence: the swap takes effect, its answer is lost. Cause: no answer read as failure.
-    const { timers, platform, owner, other, claim } = createStand();
+  it('grants once, by reading back the head, when the result of the swap is lost', async () => {
+    // Failure: a keyed request is refused although its claim is stored, and every resend gets "unknown".
+    // The swap takes effect but its result is lost, and the missing result is treated as a failure.
+    const { timers, platform, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     platform.injectFault(owner.name, 'swap', { kind: 'lost-answer' });
     const first = claim(owner, 'k');
@@ -139,11 +144,11 @@
     expect(kinds.sort()).to.deep.equal(['granted', 'running']);
   });
 
-  it('takes out a claim that lands after its asker was told "not run"', async () => {
-    // Symptom: a key whose request was refused as not run stays claimed for ever. Sequence: the swap
-    // is delayed past the ask's deadline, the caller is told "not run", then the swap lands. Cause: an
-    // unchanged value that was read in between was taken as proof that the swap had failed.
-    const { timers, platform, owner, other, claim } = createStand();
+  it('removes a claim that is stored after its requester got "not run"', async () => {
+    // Failure: a key whose request was refused as not run stays claimed forever. The swap is delayed past
+    // the request's deadline, the caller gets "not run", then the swap takes effect. An unchanged value
+    // read in between is mistaken for proof that the swap failed.
+    const { timers, platform, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     platform.injectFault(owner.name, 'swap', { kind: 'late', delay: 2500 });
     platform.injectFault(owner.name, 'swap', { kind: 'lost-call' });
@@ -154,10 +159,10 @@
     getToken(await waitFor(timers, claim(other, 'k')));
   });
 
-  it('keeps claims over the replacement of every instance', async () => {
-    // Symptom: a receipt is doubled after a rolling update. Sequence: every process is replaced, then
-    // the caller resends. Cause: claims kept in memory.
-    const { timers, fleet, instances, owner, claim } = createStand();
+  it('keeps claims when every instance is replaced', async () => {
+    // Failure: a receipt is issued twice after a rolling update. Every process is replaced, then the caller
+    // resends, but the claims were kept in memory only.
+    const { timers, fleet, instances, owner, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'k')));
     instances.forEach((instance) => instance.kill());
     const fresh = ['d', 'e', 'f'].map((name) => fleet.start(name));
@@ -169,10 +174,10 @@
     }
   });
 
-  it('waits through an outage within the deadline, then says that nothing ran', async () => {
-    // Symptom: during an outage keyed requests run unclaimed, or wait without end. Sequence: outage of
-    // 3 s, one caller with 2 s and one with 10 s. Cause: no deadline on the wait for a claim.
-    const { timers, platform, owner, other, claim } = createStand();
+  it('waits for the end of an outage until the deadline, then reports that nothing ran', async () => {
+    // Failure: during a store outage, keyed requests run without a claim or wait forever because the wait
+    // for a claim has no deadline. Here the outage lasts 3 s; one caller has 2 s left and one has 10 s.
+    const { timers, platform, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     platform.setFaults({ outage: true });
     timers.registerTimeout(3000, () => platform.setFaults({ outage: false }));
@@ -180,14 +185,14 @@
     const long = claim(other, 'long', 10_000);
     expect((await waitFor(timers, short)).kind).to.equal('unavailable');
     getToken(await waitFor(timers, long));
-    // The short one never ran, so its resend may.
+    // The request with the short deadline never ran, so its resend may run.
     getToken(await waitFor(timers, claim(owner, 'short')));
   });
 
-  it('grants to the asker when the owner dies between swap and grant', async () => {
-    // Symptom: a key is claimed by nobody's request. Sequence: the owner's swap lands, the owner dies
-    // before it replies. Cause: the grant was a message and not a fact that the next owner can read.
-    const { timers, platform, owner, other, claim } = createStand();
+  it('grants a stored claim to its requester when the owner crashes before replying', async () => {
+    // Failure: a key stays claimed although no request got the grant. The owner's swap takes effect and the
+    // owner crashes before it replies. The grant must be stored so that the next owner can read it.
+    const { timers, platform, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     await timers.advanceToAsync(timers.now() + 1000);
     platform.setFaults({ extraLatency: 100 }, owner.name);
@@ -200,10 +205,10 @@
     expect((await waitFor(timers, claim(other, 'k'))).kind).to.equal('running');
   });
 
-  it('lets old claims go only together with the keys that could ask for them', async () => {
-    // Symptom: a resend a day later runs a second time. Sequence: the claim is let go after the
-    // retention, then the key comes again. Cause: an old key looks like a new one once its claim is gone.
-    const { timers, platform, owner, other, claim } = createStand({
+  it('deletes expired claims only when requests with their keys are refused from then on', async () => {
+    // Failure: a resend a day later runs a second time. The claim is deleted after its retention, then the
+    // key is sent again, and without its claim an old key looks like a new one.
+    const { timers, platform, owner, other, claim } = createFixture({
       sealAt: 4,
       mergeAt: 3,
       retention: 60_000,
@@ -232,10 +237,10 @@
     expect(platform.store.countBytes()).to.be.below(before);
   });
 
-  it('frees a key whose asker gave up and whose release got lost', async () => {
-    // Symptom: "still running" for ever about work that never ran. Sequence: the claim lands, reply and
-    // release are both lost. Cause: nobody asks the instance that the claim names.
-    const { timers, fleet, owner, other, claim } = createStand();
+  it('frees a key whose requester gave up and whose release message was lost', async () => {
+    // Failure: resends get "still running" forever although nothing ran. The claim is stored, but the reply
+    // and the release are both lost, and the owner does not query the instance that holds the claim.
+    const { timers, fleet, owner, other, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     fleet.setLoss((from, to) => from === owner.name && to === other.name);
     const refused = claim(other, 'k', 1000);
@@ -246,10 +251,10 @@
     getToken(await waitFor(timers, claim(owner, 'k')));
   });
 
-  it('collects segments that a dead owner wrote and never named, and no others', async () => {
-    // Symptom: the service fills up with values that nobody reads. Sequence: an owner writes a segment
-    // and dies before the swap that names it. Cause: nobody removes what no head names.
-    const { timers, platform, owner, other, claim } = createStand({ sealAt: 3 });
+  it('removes orphaned segments of a crashed owner and no others', async () => {
+    // Failure: the store fills up with unused values. An owner writes a segment and crashes before the swap
+    // that refers to it, and nothing removes the orphaned segment.
+    const { timers, platform, owner, other, claim } = createFixture({ sealAt: 3 });
     for (let i = 0; i < 8; i++) {
       getToken(await waitFor(timers, claim(owner, `k${i}`)));
     }
@@ -267,10 +272,10 @@
     }
   });
 
-  it('removes a segment whatever revision the service has given it', async () => {
-    // Symptom: sealed segments stay for ever. Sequence: a service counts revisions over all its keys, so
-    // that a segment's first revision is not 1. Cause: a removal with a guessed revision is a conflict.
-    const { timers, platform, owner, other, claim } = createStand({ sealAt: 3 });
+  it('removes a segment whatever its revision is', async () => {
+    // Failure: sealed segments are never removed. A store that counts revisions across all keys does not
+    // start a segment at revision 1, so a removal with a guessed revision always conflicts.
+    const { timers, platform, owner, other, claim } = createFixture({ sealAt: 3 });
     getToken(await waitFor(timers, claim(owner, 'k')));
     platform.store.swap('claims/1/0/1-998', 0, '[]');
     platform.store.swap('claims/1/0/1-998', 1, '[]');
@@ -280,10 +285,10 @@
     expect(platform.store.list('claims/1/0/')).to.not.include('claims/1/0/1-998');
   });
 
-  it('refuses as not run, and lives on, while a slot holds a value that nobody can read', async () => {
-    // Symptom: one instance after the other ends. Sequence: a slot's head is overwritten by hand, each
-    // next owner reads it and throws. Cause: an error of decoding that left its promise.
-    const { timers, platform, owner, claim } = createStand();
+  it('refuses requests as not run, without crashing, while the stored slot value is malformed', async () => {
+    // Failure: one instance after the other crashes. A slot's head is overwritten by hand, and each new
+    // owner that reads it crashes on the decoding error, which becomes an unhandled rejection.
+    const { timers, platform, owner, claim } = createFixture();
     platform.store.swap('claims/1/0/head', 0, '{"e":');
     expect((await waitFor(timers, claim(owner, 'k', 1000))).kind).to.equal('unavailable');
     platform.store.swap('claims/1/0/head', 1, '[1]');
@@ -292,11 +297,11 @@
     getToken(await waitFor(timers, claim(owner, 'k')));
   });
 
-  it('grants once when the answer is lost, the owner dies and the service goes out, all at once', async () => {
-    // Symptom: a key is run twice, or stays claimed by nobody. Sequence: the swap lands, its answer is
-    // lost, the owner is killed, the service is out for 2 s; the asker asks the next owner. Cause: a new
-    // owner that does not know whose claim it finds.
-    const { timers, platform, owner, other, instances, claim } = createStand();
+  it('grants once when the swap result is lost, the owner crashes and the store fails together', async () => {
+    // Failure: a key runs twice, or stays claimed although no request got the grant. The swap takes effect
+    // but its result is lost, the owner is killed, the store is down for 2 s, and the requester retries at
+    // the next owner, which must recognize whose claim it finds.
+    const { timers, platform, owner, other, instances, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'warm-up')));
     await timers.advanceToAsync(timers.now() + 1000);
     platform.injectFault(owner.name, 'swap', { kind: 'lost-answer' });
@@ -311,11 +316,11 @@
     expect(kinds).to.deep.equal(['granted', 'running']);
   });
 
-  it('serves both sides of a cut that both reach the platform, and no key twice', async () => {
-    // Symptom: during a cut between domains keyed requests of one side time out. Sequence: each side
-    // takes the other's owner for dead and takes the slot; the two tear at it. Cause: a loser that
-    // defers for long to an owner that its own side cannot reach.
-    const { timers, fleet, instances, claim } = createStand({}, ['a1', 'a2', 'b1', 'b2']);
+  it('serves both sides of a network partition that reach the store, and grants each key once', async () => {
+    // Failure: during a partition between domains, keyed requests of one side time out. Each side considers
+    // the other's owner dead and acquires the slot, so the slot changes hands repeatedly. The instance that
+    // loses it must not redirect requests for long to an owner that its own side cannot reach.
+    const { timers, fleet, instances, claim } = createFixture({}, ['a1', 'a2', 'b1', 'b2']);
     const names = instances.map(({ name }) => name);
     fleet.setLoss((from, to) => from[0] !== to[0]);
     names.forEach((name) =>
--- a/packages/claims/src/__tests__/unit/ClaimHistory.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimHistory.test.ts
@@ -10,15 +10,15 @@
 const KEYS = 12;
 
 interface History {
-  /** Dispatches of each key that were not given back as proven not run. */
+  /** Number of dispatches of each key, without those released as not run. */
   readonly dispatches: ReadonlyMap<string, number>;
   readonly granted: number;
   readonly unavailable: number;
-  /** Keys that stay claimed at the end although nothing ever ran for them. */
+  /** Keys for which the last claim request was still refused as unavailable. */
   readonly stuck: readonly string[];
 }
 
-/** Runs random claims over random faults, then ends the faults and asks for every key again. */
+/** Runs random claims under random faults, then ends the faults and claims every key again. */
 async function runHistory(seed: number): Promise<History> {
   const random = createRandom(seed);
   const timers = createVirtualTimers(1_000_000);
@@ -42,7 +42,7 @@
   let unavailable = 0;
 
   function ask(at: FakeClaimInstance, key: string, timeLeft: number): void {
-    const fate = random.nextFloat();
+    const roll = random.nextFloat();
     void at.router
       .claim({ team: 't', key, fingerprint: 'f', request: 'r', timeLeft })
       .then((outcome) => {
@@ -51,12 +51,12 @@
           return;
         }
         granted += 1;
-        if (fate < 0.3) {
+        if (roll < 0.3) {
           at.router.release(outcome.token);
           return;
         }
         dispatches.set(key, (dispatches.get(key) ?? 0) + 1);
-        if (fate < 0.8) {
+        if (roll < 0.8) {
           at.router.settle(outcome.token, { run: 'ran', answer: key });
         }
       });
@@ -65,14 +65,14 @@
   for (let step = 0; step < STEPS; step++) {
     const at = instances[random.nextInt(instances.length)] as FakeClaimInstance;
     if (random.nextFloat() < 0.25) {
-      instances = disturb(random, instances, at);
+      instances = injectFault(random, instances, at);
     } else {
       ask(at, `k${random.nextInt(KEYS)}`, 100 + random.nextInt(3000));
     }
     await timers.advanceToAsync(timers.now() + random.nextInt(120));
   }
 
-  function disturb(rng: Random, all: FakeClaimInstance[], at: FakeClaimInstance) {
+  function injectFault(rng: Random, all: FakeClaimInstance[], at: FakeClaimInstance) {
     const names = all.map(({ name }) => name);
     const chance = (share: number): number => (rng.nextFloat() < 0.5 ? share * rng.nextFloat() : 0);
     switch (rng.nextInt(6)) {
@@ -146,22 +146,22 @@
   return { dispatches, granted, unavailable, stuck };
 }
 
-describe('claims in random runs', () => {
+describe('claims under random faults', () => {
   it(`grants each key to at most one dispatch in ${RUNS} seeded runs of mixed faults`, async () => {
-    // Symptom: a bulletin is sent twice. Sequence: any mix of lost, late and slow calls, outages,
-    // paused and replaced instances, views that differ and lost messages. Cause: whatever it is, the
-    // seed in the message repeats it.
+    // Failure: a bulletin is sent twice under some mix of lost, late and slow calls, outages, paused and
+    // replaced instances, differing views of live instances, and lost messages. The seed in the failure
+    // message reproduces the run.
     let granted = 0;
     let unavailable = 0;
     for (let seed = 1; seed <= RUNS; seed++) {
       const history = await runHistory(seed);
-      const doubled = [...history.dispatches].filter(([, count]) => count > 1);
-      expect(doubled, `seed ${seed}`).to.deep.equal([]);
+      const duplicates = [...history.dispatches].filter(([, count]) => count > 1);
+      expect(duplicates, `seed ${seed}`).to.deep.equal([]);
       expect(history.stuck, `seed ${seed}`).to.deep.equal([]);
       granted += history.granted;
       unavailable += history.unavailable;
     }
-    // The runs must reach both grants and refusals, or they would show nothing.
+    // Without both grants and refusals the runs would not test anything.
     expect(granted).to.be.above(RUNS * 5);
     expect(unavailable).to.be.above(RUNS);
   });
--- a/packages/claims/src/__tests__/unit/ClaimSlot.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimSlot.test.ts
@@ -11,11 +11,11 @@
 const KEY = { keyHash: 'k', fingerprint: 'f', stamp: null };
 
 describe('ClaimSlot', () => {
-  it('keeps a claim that it finds while it takes the slot, though the same ask runs out here', () => {
-    // Symptom: a key runs twice. Sequence: request A asks the old owner, is granted and runs; a late
-    // copy of A's ask reaches the next owner and runs out of time there while the slot is being taken.
-    // Cause: the swap that takes the slot carries A's claim along, which looked like a claim that this
-    // owner had put in itself, so that it was taken out again.
+  it('keeps a claim found while acquiring the slot, even if the same request times out here', () => {
+    // Failure: a key runs twice. The old owner grants the key to request A, which runs; a late copy of A's
+    // claim request reaches the next owner and times out there while that owner acquires the slot. The swap
+    // that acquires the slot also contains A's claim; if it is mistaken for a claim that this owner added,
+    // it is removed.
     const stored: SlotHead = {
       ...EMPTY_HEAD,
       epoch: 1,
--- a/packages/core/src/CoreActivity.ts
+++ b/packages/core/src/CoreActivity.ts
@@ -3,30 +3,30 @@
 import type { Millis, Unregister } from './CoreTypes.js';
 
 export interface ActiveInterval {
-  /** Starts the interval unless it runs. */
+  /** Starts the interval unless it is already running. */
   start(): void;
   stop(): void;
 }
 
 /**
- * Calls `work` every `period` ms from `start` on, until it says that nothing is left to do. An instance at rest
- * is not woken for it: timers that only looked whether there was work were three in four of its wake-ups.
+ * Calls `work` every `period` ms after `start` until it returns false because nothing is left to do. This
+ * avoids timer wake-ups on an idle instance: timers that only checked for work caused three in four of them.
  */
 export function createActiveInterval(
   timers: TimerService,
   period: Millis,
   work: () => boolean,
 ): ActiveInterval {
-  let undo: Unregister | null = null;
+  let cancel: Unregister | null = null;
 
   function stop(): void {
-    undo?.();
-    undo = null;
+    cancel?.();
+    cancel = null;
   }
 
   return {
     start() {
-      undo ??= timers.registerInterval(period, () => {
+      cancel ??= timers.registerInterval(period, () => {
         if (!work()) {
           stop();
         }
--- a/packages/core/src/CoreChain.ts
+++ b/packages/core/src/CoreChain.ts
@@ -1,19 +1,19 @@
 /**
- * A chain: the engines that a request's tokens pass, covering a model's layers once and in order.
- * `createChain` is the only way to make one, so a chain with a gap or an overlap cannot exist.
+ * A chain: the engines that a request's tokens pass through, covering each of a model's layers once and in
+ * order. Only `createChain` can create one, so a chain with a gap or an overlap cannot exist.
  */
 import type { AdapterId, EngineId, LayerRange, ModelId, Result, VersionId } from './CoreTypes.js';
 import { createFailed, createOk } from './CoreTypes.js';
 
 declare const chainBrand: unique symbol;
 
-/** One engine's part of a chain. */
+/** The layers that one engine runs in a chain. */
 export interface Stage {
   readonly engine: EngineId;
   readonly layers: LayerRange;
 }
 
-/** What is run: one version of a model, with at most one adapter, throughout. */
+/** One version of a model with at most one adapter; all stages of a chain run the same variant. */
 export interface ModelVariant {
   readonly model: ModelId;
   readonly version: VersionId;
@@ -26,13 +26,16 @@
   readonly stages: readonly Stage[];
 }
 
-/** Why stages do not form a chain. */
+/** Why stages do not form a chain, and the layer at which this was found. */
 export interface ChainFault {
   readonly kind: 'empty' | 'gap' | 'overlap' | 'short' | 'long' | 'empty-stage' | 'repeated-engine';
   readonly layer: number;
 }
 
-/** Joins stages into a chain if they cover layers 0 to `layerCount` once, in order. */
+/**
+ * Creates a chain if the stages cover the layers from 0 to `layerCount`, exclusive, once and in order, and
+ * each stage is on a different engine.
+ */
 export function createChain(
   variant: ModelVariant,
   layerCount: number,
@@ -88,7 +91,7 @@
   );
 }
 
-/** Names a chain in logs: `engine[first-end) > …`. */
+/** Formats a chain for logs: `engine[first-end) > …`. */
 export function formatChain(chain: Pick<Chain, 'stages'>): string {
   return chain.stages
     .map(({ engine, layers }) => `${engine}[${layers.first}-${layers.end})`)
--- a/packages/core/src/CoreConstants.ts
+++ b/packages/core/src/CoreConstants.ts
@@ -1,6 +1,6 @@
-/** Constants that every package shares. */
+/** Constants shared by all packages. */
 
-/** Importance of a request. Under overload the lower one is refused first. */
+/** Priority of a request. Under overload, requests of lower priority are refused first. */
 export const Priority = {
   Low: 'low',
   Normal: 'normal',
@@ -10,7 +10,7 @@
 
 export type PriorityName = (typeof Priority)[keyof typeof Priority];
 
-/** From the least to the most important. */
+/** Priorities in ascending order. */
 export const PRIORITY_ORDER: readonly PriorityName[] = [
   Priority.Low,
   Priority.Normal,
@@ -18,14 +18,14 @@
   Priority.Urgent,
 ];
 
-/** Rank of a priority; a higher number is more important. */
+/** Returns the rank of a priority; a higher rank is more important. */
 export function getPriorityRank(priority: PriorityName): number {
   return PRIORITY_ORDER.indexOf(priority);
 }
 
 /**
- * What is known of a request that did not end in an answer. `not-run` is said on proof only: nothing
- * was sent, or the backend server itself says that it did not start. All else is `unknown` or `ran`.
+ * Whether a request without a response has run. `not-run` requires proof: nothing was sent, or the backend
+ * server reports that it did not start the request. Otherwise the state is `unknown` or `ran`.
  */
 export const RunState = {
   NotRun: 'not-run',
@@ -43,7 +43,7 @@
 
 export type LifeStateName = (typeof LifeState)[keyof typeof LifeState];
 
-/** What kind of process an entry of the instance list is. */
+/** Kind of process of an entry in the platform's instance list. */
 export const InstanceRole = {
   Entry: 'entry',
   Engine: 'engine',
--- a/packages/core/src/CoreEngine.ts
+++ b/packages/core/src/CoreEngine.ts
@@ -1,4 +1,4 @@
-/** What is known of a backend server that runs a model: its facts, and the load that it last told. */
+/** Static properties of a backend server that runs layers of a model, and the load that it last reported. */
 import type { LifeStateName } from './CoreConstants.js';
 import type {
   AdapterId,
@@ -11,7 +11,7 @@
   VersionId,
 } from './CoreTypes.js';
 
-/** Part that an engine plays for a model. */
+/** The phases of inference that an engine performs for a model: prefill, decode or both. */
 export const EngineDuty = {
   Mixed: 'mixed',
   Prefill: 'prefill',
@@ -29,31 +29,31 @@
   readonly duty: EngineDutyName;
 }
 
-/** Facts that change seldom. */
+/** Properties of an engine that rarely change. */
 export interface EngineFacts {
   readonly id: EngineId;
   readonly domain: DomainId;
-  /** Engines of one rack share their links and their power. */
+  /** Engines in the same rack share network links and power supply. */
   readonly rack: string;
   readonly address: HostPort;
-  /** Kind of accelerator, as the manifest names it. */
+  /** Accelerator type, as named in the manifest. */
   readonly accelerator: string;
-  /** Layers times tokens per second that it generates with a full batch. */
+  /** Decode throughput with a full batch, in layers times tokens per second. */
   readonly decodeLayerTokensPerSecond: number;
-  /** Layers times prompt tokens per second. */
+  /** Prefill throughput, in layers times prompt tokens per second. */
   readonly prefillLayerTokensPerSecond: number;
-  /** Weights that fit, in bytes. */
+  /** Memory for model weights, in bytes. */
   readonly weightBytes: number;
-  /** KV-cache entries that fit, in layers times tokens. */
+  /** KV-cache capacity, in layers times tokens. */
   readonly kvLayerTokens: number;
-  /** Requests that it batches at the most. */
+  /** Maximum number of requests in a batch. */
   readonly maxBatch: number;
 }
 
-/** What an engine last told of itself. It is old by the time it is read. */
+/** The last load report of an engine. It is always somewhat stale when it is read. */
 export interface EngineLoad {
   readonly engine: EngineId;
-  /** A new value after each start of the engine's process. */
+  /** Differs for each start of the engine's process. */
   readonly bootId: string;
   readonly state: LifeStateName;
   readonly holding: Holding | null;
@@ -61,11 +61,11 @@
   readonly queued: number;
   /** Share of the KV cache in use, 0 to 1. */
   readonly kvUsed: number;
-  /** Number of the last order that it took; 0 before the first. */
+  /** Number of the last order that the engine accepted; 0 before the first. */
   readonly orderNumber: number;
 }
 
-/** A load report with the local time at which it was made, as near as can be told. */
+/** A load report with the estimated local time at which it was made. */
 export interface SeenEngineLoad {
   readonly load: EngineLoad;
   readonly seenAt: Millis;
--- a/packages/core/src/CoreErrors.ts
+++ b/packages/core/src/CoreErrors.ts
@@ -1,18 +1,18 @@
-/** The base of every error of ours, and the check for what must hold. */
+/** Base class of all errors of this project, and invariant checks. */
 import ModernError from 'modern-errors';
 
-/** Root of our error classes; each package derives its own. */
+/** Root of the error classes; each package derives its own. */
 export const SkylarkError = ModernError.subclass('SkylarkError');
 
-/** A condition that must hold does not: a mistake in our code, never an outside failure. */
+/** An invariant is violated: a bug in this code, never an external failure. */
 export const InvariantError = SkylarkError.subclass('InvariantError');
 
-/** The default of a switch over all cases: the compiler refuses it while one of them is missing. */
+/** For the default case of an exhaustive switch: it fails to compile while a case is missing. */
 export function failUnreachable(value: never): never {
   throw new InvariantError(`invariant broken: no case for ${JSON.stringify(value)}`);
 }
 
-/** Throws an InvariantError with `message` unless `cond` holds. */
+/** Throws an InvariantError with `message` unless `cond` is truthy. */
 export function invariant(cond: unknown, message: string): asserts cond {
   if (!cond) {
     throw new InvariantError(`invariant broken: ${message}`);
--- a/packages/core/src/CoreHash.ts
+++ b/packages/core/src/CoreHash.ts
@@ -1,21 +1,21 @@
-/** Non-cryptographic hashes, the same on every instance. */
+/** Non-cryptographic hashes that give the same result on every instance. */
 import xxhash from 'xxhash-wasm';
 
 const hasher = await xxhash();
 
-/** 32-bit hash of a text. */
+/** Returns the 32-bit hash of a string. */
 export function hash32(text: string, seed = 0): number {
   return hasher.h32(text, seed);
 }
 
-/** 64-bit hash of a text as 16 hexadecimal digits. */
+/** Returns the 64-bit hash of a string as 16 hexadecimal digits. */
 export function hash64Hex(text: string): string {
   return hasher.h64ToString(text);
 }
 
 /**
- * The `count` members that own `key` by rendezvous hashing, best first. A member that joins or leaves
- * moves only the keys that it gains or loses.
+ * Returns the `count` members with the highest rendezvous hash weights for `key`, highest first. When a
+ * member joins or leaves, only the keys that it gains or loses are reassigned.
  */
 export function selectOwners(
   key: string,
--- a/packages/core/src/CoreResponseTimeout.ts
+++ b/packages/core/src/CoreResponseTimeout.ts
@@ -1,70 +1,71 @@
 /**
- * How long an answer may take to arrive. A limit on the whole of it gives up a large answer that is on its way, and the
- * next try begins it anew: on a link that is too slow for the limit nobody ever gets it, and the tries take the link
- * from everything else. So only silence counts, with a bound on the whole for a sender that goes on without end.
+ * Timeouts for receiving a response. A tight timeout on the whole response would abort a large one that is still
+ * arriving, and the retry starts again at the first byte: on a link that is too slow for the timeout no attempt
+ * succeeds, and the retries use up the link's bandwidth. The main timeouts therefore limit the time without data; the
+ * timeout on the whole response only stops a sender that never finishes.
  */
 import type { TimerService } from './CoreTimers.js';
 import type { Millis, Unregister } from './CoreTypes.js';
 
 export interface ResponseTimeoutLimits {
-  /** Longest time until the answer begins. */
+  /** Maximum time until the response begins. */
   readonly begin: Millis;
-  /** Longest time without a byte after that. */
+  /** Maximum time without data after that. */
   readonly gap: Millis;
-  /** Longest time from the answer's beginning to its end. */
+  /** Maximum time from the beginning of the response to its end. */
   readonly whole: Millis;
 }
 
-/** Watches one answer arrive. */
+/** Applies the timeouts to one response. */
 export interface ResponseTimeout {
-  /** Aborted once a limit is passed. */
+  /** Aborted when a timeout expires. */
   readonly signal: AbortSignal;
-  /** Something of the answer has come. */
+  /** Records that a part of the response has arrived. */
   recordProgress(): void;
-  /** Time since the answer began. */
+  /** Time since the response began; 0 before that. */
   getElapsed(): Millis;
-  /** The answer is there, or has failed: no limit holds any longer. */
+  /** Cancels all timeouts, once the response is complete or has failed. */
   end(): void;
 }
 
 /**
- * A process that was held up runs its timers before it reads what has come meanwhile: a limit that has passed is looked at
- * once more after that.
+ * Delay between the expiry of a timeout on missing data and the abort. A process that was blocked runs its due timers
+ * before it reads the data that has arrived meanwhile; data read within this delay cancels the abort.
  */
-const READING_TIME: Millis = 20;
+const READ_GRACE: Millis = 20;
 
-/** Starts to wait for an answer. */
+/** Starts the timeouts for a response. */
 export function startResponseTimeout(
   timers: TimerService,
   limits: ResponseTimeoutLimits,
 ): ResponseTimeout {
   const controller = new AbortController();
-  let undoSilence: Unregister = () => undefined;
-  let undoWhole: Unregister | null = null;
+  let cancelIdleTimeout: Unregister = () => undefined;
+  let cancelTotalTimeout: Unregister | null = null;
   let begunAt: Millis | null = null;
-  const abort = (): void => controller.abort(new Error('no answer in time'));
-  const giveUp = (): void => {
-    undoSilence = timers.registerTimeout(READING_TIME, abort);
+  const abort = (): void => controller.abort(new Error('response timed out'));
+  const scheduleAbort = (): void => {
+    cancelIdleTimeout = timers.registerTimeout(READ_GRACE, abort);
   };
-  undoSilence = timers.registerTimeout(limits.begin, giveUp);
+  cancelIdleTimeout = timers.registerTimeout(limits.begin, scheduleAbort);
 
   return {
     signal: controller.signal,
     recordProgress() {
       begunAt ??= timers.now();
-      undoSilence();
-      undoSilence = timers.registerTimeout(limits.gap, giveUp);
-      undoWhole ??= timers.registerTimeout(limits.whole, abort);
+      cancelIdleTimeout();
+      cancelIdleTimeout = timers.registerTimeout(limits.gap, scheduleAbort);
+      cancelTotalTimeout ??= timers.registerTimeout(limits.whole, abort);
     },
     getElapsed: () => (begunAt === null ? 0 : timers.now() - begunAt),
     end() {
-      undoSilence();
-      undoWhole?.();
+      cancelIdleTimeout();
+      cancelTotalTimeout?.();
     },
   };
 }
 
-/** Collects an answer whose head has come; rejects if its sender breaks off or a limit is passed. */
+/** Reads a response body after the headers have arrived; rejects if the sender aborts or a timeout expires. */
 export async function collectResponseBody(
   arrival: ResponseTimeout,
   body: AsyncIterable<Uint8Array>,
@@ -78,9 +79,9 @@
   return Buffer.concat(chunks);
 }
 
-/** Limits of answers that may be large. The time in which they are to begin is the caller's. */
+/** Timeouts for responses that may be large. The caller sets the maximum time until they begin. */
 export const LARGE_RESPONSE_LIMITS = {
-  /** A packet that is lost is sent again several times within it. */
+  /** Long enough for several retransmissions of a lost packet. */
   gap: 1000,
   whole: 8000,
 } as const;
--- a/packages/core/src/CoreTimers.ts
+++ b/packages/core/src/CoreTimers.ts
@@ -1,9 +1,9 @@
-/** The timer service that all parts subscribe to, and its virtual form for tests and benches. */
+/** The timer service that all components use, and its virtual-time implementation for tests and benches. */
 import TinyQueue from 'tinyqueue';
 import type { Millis, Unregister } from './CoreTypes.js';
 import { invariant } from './CoreErrors.js';
 
-/** Source of time. Parts never read a clock of their own. */
+/** Clock and timers. Components use only this and never read a system clock directly. */
 export interface TimerService {
   /** Monotonic time in milliseconds. */
   now(): Millis;
@@ -20,17 +20,17 @@
   cancelled: boolean;
 }
 
-/** A timer service whose time moves only when it is told to. */
+/** A timer service whose time changes only through `advanceTo` and `advanceToAsync`. */
 export interface VirtualTimers extends TimerService {
-  /** Runs everything due up to `time`, in order of time and then of registration. */
+  /** Fires all timers due up to `time`, ordered by due time and then by registration. */
   advanceTo(time: Millis): void;
-  /** The same, letting settled promises run between timers. */
+  /** Like `advanceTo`, but runs pending promise callbacks between timers. */
   advanceToAsync(time: Millis): Promise<void>;
-  /** Number of timers that have not yet fired. */
+  /** Number of timers that are neither fired nor cancelled. */
   countPending(): number;
 }
 
-/** Creates virtual time starting at `start`. */
+/** Creates virtual timers whose time starts at `start`. */
 export function createVirtualTimers(start: Millis = 0): VirtualTimers {
   let now = start;
   let nextOrder = 0;
@@ -51,7 +51,7 @@
   }
 
   function registerInterval(period: Millis, listener: () => void): Unregister {
-    invariant(period > 0, 'the period of an interval is positive');
+    invariant(period > 0, 'the period of an interval must be positive');
     let stopped = false;
     let cancel = registerTimeout(period, function fire() {
       cancel = registerTimeout(period, fire);
@@ -98,7 +98,7 @@
   };
 }
 
-/** Lets every promise that can settle without time or input do so. */
+/** Waits until every promise that does not depend on timers or I/O has settled. */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
--- a/packages/core/src/CoreTypes.ts
+++ b/packages/core/src/CoreTypes.ts
@@ -1,6 +1,9 @@
-/** Identifiers, units and small value types that every package shares. */
+/** Identifiers, units and small value types shared by all packages. */
 
-/** Time on one process's monotonic clock, in milliseconds. Never compared between processes. */
+/**
+ * Milliseconds: a duration, or a time on the process's monotonic clock. Times of different processes are
+ * never compared.
+ */
 export type Millis = number;
 
 export type RequestId = string;
@@ -14,22 +17,22 @@
 export type AdapterId = string;
 export type ServiceId = string;
 
-/** Where a process listens: an IP number and a port. */
+/** Address at which a process listens: an IP address and a port. */
 export interface HostPort {
   readonly host: string;
   readonly port: number;
 }
 
-/** Half-open range of a model's layers: `first` is included, `end` is not. */
+/** Half-open range of a model's layers: `first` is inclusive, `end` is exclusive. */
 export interface LayerRange {
   readonly first: number;
   readonly end: number;
 }
 
-/** Undoes what the function that returned it has done. Calling it twice does no harm. */
+/** Undoes the registration made by the function that returned it. It is idempotent. */
 export type Unregister = () => void;
 
-/** What a check found: a value, or the reason why there is none. */
+/** Result of an operation that can fail: a value, or an error. */
 export type Result<T, E> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly error: E };
 
--- a/packages/core/src/__tests__/unit/CoreActivity.test.ts
+++ b/packages/core/src/__tests__/unit/CoreActivity.test.ts
@@ -3,7 +3,7 @@
 import { createVirtualTimers } from '../../CoreTimers.js';
 
 describe('CoreActivity', () => {
-  it('runs while there is work, and can be started again', () => {
+  it('runs while there is work and can be restarted', () => {
     const timers = createVirtualTimers();
     let work = 0;
     let runs = 0;
@@ -23,7 +23,7 @@
     expect([runs, timers.countPending()]).to.deep.equal([5, 0]);
   });
 
-  it('stops when it is told to', () => {
+  it('stops on request', () => {
     const timers = createVirtualTimers();
     let runs = 0;
     const interval = createActiveInterval(timers, 100, () => {
--- a/packages/core/src/__tests__/unit/CoreChain.test.ts
+++ b/packages/core/src/__tests__/unit/CoreChain.test.ts
@@ -9,15 +9,14 @@
 }
 
 describe('CoreChain', () => {
-  it('takes stages that cover every layer once and in order', () => {
+  it('accepts stages that cover every layer once and in order', () => {
     const result = createChain(variant, 8, [createStage('a', 0, 3), createStage('b', 3, 8)]);
     expect(result.ok).to.equal(true);
   });
 
-  // Symptom: an answer made without some layers, or with some of them twice.
-  // Sequence: engines reload other ranges between two load reports and a chain is put together from both.
-  // Cause: stages that do not meet. No such chain can be created.
-  it('refuses gaps, overlaps, short and long chains and a repeated engine', () => {
+  // Failure: a response is computed without some layers, or with some of them twice. Engines load other ranges
+  // between two load reports, and a chain is built from both reports with stages that are not contiguous.
+  it('rejects gaps, overlaps, chains that are too short or too long, repeated engines and empty chains', () => {
     const kinds = [
       [createStage('a', 0, 3), createStage('b', 4, 8)],
       [createStage('a', 0, 3), createStage('b', 2, 8)],
--- a/packages/core/src/__tests__/unit/CoreResponseTimeout.test.ts
+++ b/packages/core/src/__tests__/unit/CoreResponseTimeout.test.ts
@@ -2,28 +2,28 @@
 import { startResponseTimeout } from '../../CoreResponseTimeout.js';
 import { createVirtualTimers } from '../../CoreTimers.js';
 
-/** Time in which what has come is read after a limit. */
-const READING = 20;
+/** Delay after a timeout in which data that has arrived is still read. */
+const READ_GRACE = 20;
 const LIMITS = { begin: 700, gap: 300, whole: 2000 };
 
-function startBed() {
+function createFixture() {
   const timers = createVirtualTimers();
   return { timers, arrival: startResponseTimeout(timers, LIMITS) };
 }
 
-describe('CoreArrival', () => {
-  it('gives up an answer that does not begin', () => {
-    const { timers, arrival } = startBed();
+describe('CoreResponseTimeout', () => {
+  it('aborts a response that does not begin', () => {
+    const { timers, arrival } = createFixture();
     timers.advanceTo(699);
     expect(arrival.signal.aborted).to.equal(false);
-    timers.advanceTo(LIMITS.begin + READING);
+    timers.advanceTo(LIMITS.begin + READ_GRACE);
     expect(arrival.signal.aborted).to.equal(true);
   });
 
-  it('waits for one that goes on arriving, and gives up one that stops midway', () => {
-    // A configuration of some hundred kilobytes was cut off at 0.7 s, wherever it stood, and asked for from its first
-    // byte on again, for as long as the link was slow.
-    const { timers, arrival } = startBed();
+  it('does not abort a response while data arrives, and aborts one that stalls', () => {
+    // Failure: on a slow link, every attempt to fetch a configuration of some hundred kilobytes is aborted after 0.7 s,
+    // however much has arrived, and starts again at the first byte.
+    const { timers, arrival } = createFixture();
     for (let at = 600; at <= 1800; at += 200) {
       timers.advanceTo(at);
       arrival.recordProgress();
@@ -31,22 +31,22 @@
     timers.advanceTo(2099);
     expect(arrival.signal.aborted).to.equal(false);
     expect(arrival.getElapsed()).to.equal(1499);
-    timers.advanceTo(2100 + READING);
+    timers.advanceTo(2100 + READ_GRACE);
     expect(arrival.signal.aborted).to.equal(true);
   });
 
-  it('takes what came while the process was held up', () => {
-    // Small instances under load gave up answers that lay in their sockets: a timer that is due runs before the bytes
-    // that have come are read.
-    const { timers, arrival } = startBed();
+  it('accepts data that arrived while the process was blocked', () => {
+    // Failure: small instances under load abort responses that are already in their socket buffers, because a due timer
+    // runs before the received bytes are read.
+    const { timers, arrival } = createFixture();
     timers.advanceTo(LIMITS.begin);
     arrival.recordProgress();
-    timers.advanceTo(LIMITS.begin + READING);
+    timers.advanceTo(LIMITS.begin + READ_GRACE);
     expect(arrival.signal.aborted).to.equal(false);
   });
 
-  it('gives up one that never ends', () => {
-    const { timers, arrival } = startBed();
+  it('aborts a response that never ends', () => {
+    const { timers, arrival } = createFixture();
     for (let at = 100; at <= 2000; at += 100) {
       timers.advanceTo(at);
       arrival.recordProgress();
@@ -56,8 +56,8 @@
     expect(arrival.signal.aborted).to.equal(true);
   });
 
-  it('leaves no timer behind', () => {
-    const { timers, arrival } = startBed();
+  it('cancels all timers at the end', () => {
+    const { timers, arrival } = createFixture();
     arrival.recordProgress();
     arrival.end();
     expect(timers.countPending()).to.equal(0);
--- a/packages/core/src/__tests__/unit/CoreTimers.test.ts
+++ b/packages/core/src/__tests__/unit/CoreTimers.test.ts
@@ -2,7 +2,7 @@
 import { createVirtualTimers } from '../../CoreTimers.js';
 
 describe('CoreTimers', () => {
-  it('fires in order of time, then of registration, and not after being undone', () => {
+  it('fires timers in order of time, then of registration, and no cancelled ones', () => {
     const timers = createVirtualTimers();
     const fired: string[] = [];
     timers.registerTimeout(20, () => fired.push('late'));
--- a/packages/routes/src/RouteTable.ts
+++ b/packages/routes/src/RouteTable.ts
@@ -1,6 +1,6 @@
 /**
- * The compiled configuration: routes by host and prefix, teams by key. A new version makes a new table
- * that takes the place of the old one whole; a request keeps the table that it began with.
+ * The compiled configuration, indexed for lookup: routes by host and prefix, teams by key. Each new version
+ * replaces the whole table; a request keeps using the table with which it started.
  */
 import type { ServiceId } from '@skylarksail/core/CoreTypes';
 import type { Random } from '@skylarksail/core/CoreRandom';
@@ -8,14 +8,14 @@
 
 export interface RouteTable {
   readonly config: RouteConfig;
-  /** The route with the longest prefix that begins the path, or null. */
+  /** Returns the route with the longest matching prefix of the path, or null. */
   findRoute(host: string, path: string): Route | null;
-  /** The team that holds a key, or null. */
+  /** Returns the team to which a key belongs, or null. */
   findTeam(key: string): RouteTeam | null;
   findService(id: ServiceId): RoutedService | null;
 }
 
-/** Compiles a configuration. A look-up costs as many steps as the path has parts, whatever the routes. */
+/** Compiles a configuration. A lookup takes one step per path segment, independent of the number of routes. */
 export function createRouteTable(config: RouteConfig): RouteTable {
   const hosts = new Map<string, Map<string, Route>>();
   for (const route of config.routes) {
@@ -38,7 +38,7 @@
   };
 }
 
-/** Every prefix ends with a slash, so only the path's own beginnings up to a slash can match. */
+/** Finds the longest prefix. Prefixes end with a slash, so only the parts of the path up to a slash can match. */
 function findLongest(prefixes: ReadonlyMap<string, Route>, path: string): Route | null {
   for (let end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
     const route = prefixes.get(path.slice(0, end + 1));
@@ -52,7 +52,7 @@
   return null;
 }
 
-/** Draws one of a route's services by weight. Null if no target has any. */
+/** Picks one of a route's services at random by weight. Returns null if no target has a positive weight. */
 export function drawService(route: Route, random: Random): ServiceId | null {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
   let draw = random.nextFloat() * total;
--- a/packages/routes/src/RouteTypes.ts
+++ b/packages/routes/src/RouteTypes.ts
@@ -1,19 +1,19 @@
-/** The operators' configuration of routes: who may call what, and which service answers. */
+/** The routes that operators configure: who may call them and which services handle the requests. */
 import type { Millis, ServiceId, TeamId } from '@skylarksail/core/CoreTypes';
 
-/** What may be repeated of a route's requests. */
+/** Whether a route's requests may be repeated, and whether the response is a stream. */
 export const RouteKind = {
   /** May run more than once. */
   Safe: 'safe',
   /** Runs at most once. */
   Unsafe: 'unsafe',
-  /** Answers with a series of events. */
+  /** The response is a stream of events. */
   Stream: 'stream',
 } as const;
 
 export type RouteKindName = (typeof RouteKind)[keyof typeof RouteKind];
 
-/** A service with its part of a route's requests. */
+/** A service with its weight, which sets its share of a route's requests. */
 export interface RouteTarget {
   readonly service: ServiceId;
   readonly weight: number;
@@ -25,34 +25,40 @@
   /** Begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKindName;
-  /** Whether a stream that broke off may go on at another engine. */
+  /** Whether an interrupted stream may be resumed on another engine. */
   readonly isResumable: boolean;
-  /** Longest time that the operator wants a request to wait for its whole answer. */
+  /** Maximum time for the whole response. */
   readonly timeout: Millis;
-  /** Time to the answer, or to a stream's first event, that counts as on time. */
+  /** Latency goal: maximum time to the response, or to the first event of a stream, to count as on time. */
   readonly firstAnswerGoal: Millis;
-  /** Silence, from the request on, after which a stream's caller leaves for good; null if it never does. */
+  /**
+   * Patience of a stream's caller: time without an event, counted from the request on, after which it
+   * disconnects for good; null if it never does.
+   */
   readonly callerPatience: Millis | null;
-  /** Longest pause between events of an answer that is on time; null where there is no such goal. */
+  /**
+   * Latency goal: maximum time between two events of a stream to count as on time; null if there is no
+   * such goal.
+   */
   readonly pauseGoal: Millis | null;
-  /** 0 is the most important. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Engines that one request may be sent to. */
+  /** Maximum number of engines to which one request may be sent. */
   readonly maxAttempts: number;
-  /** Whether it may be called without a key. */
+  /** Whether the route may be called without a key. */
   readonly isPublic: boolean;
 }
 
-/** A team with the keys that its callers show. */
+/** A team with its callers' API keys. */
 export interface RouteTeam {
   readonly id: TeamId;
   readonly keys: readonly string[];
-  /** Goes before the route's priority; null if the team has none. */
+  /** Overrides the route's priority; null if the team has none. */
   readonly priority: number | null;
 }
 
-/** Bounds on what a caller may send, and how slowly. */
+/** Limits on the size of requests and on how slowly callers may send them. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -60,33 +66,33 @@
   readonly idleTimeout: Millis;
 }
 
-/** One kind of accelerator, as the configuration describes it. */
+/** Memory and relative speed of an accelerator type. */
 export interface AcceleratorFacts {
   readonly memoryBytes: number;
-  /** How many times as long as the reference a generation step takes. */
+  /** Time of a decode step relative to the reference engine; a higher factor is slower. */
   readonly stepFactor: number;
-  /** The same for reading prompts. */
+  /** Time of prefill relative to the reference engine; a higher factor is slower. */
   readonly readFactor: number;
 }
 
-/** A model whose layers are spread over engines, with the speed of a reference engine. */
+/** A model whose layers are distributed over engines. Times and rates are those of a reference engine. */
 export interface PipelineFacts {
   readonly layers: number;
   readonly layerBytes: number;
-  /** KV-cache memory of one token over all layers. */
+  /** KV-cache size of one token across all layers. */
   readonly kvTokenBytes: number;
-  /** What one token moves from one engine to the next. */
+  /** Bytes per token sent from one engine to the next. */
   readonly activationBytes: number;
   readonly accelerators: ReadonlyMap<string, AcceleratorFacts>;
   readonly step: Millis;
   readonly stepPerRequest: Millis;
   readonly stepPerThousandContext: Millis;
   readonly promptTokensPerSecond: number;
-  /** Requests that an engine takes at once as the first of a chain. */
+  /** Number of concurrent requests that an engine accepts as the first engine of a chain. */
   readonly slots: number;
-  /** Time to load all layers. */
+  /** Time to load the weights of all layers. */
   readonly load: Millis;
-  /** Rate of the pipe between two failure domains. */
+  /** Bandwidth of the link between two failure domains. */
   readonly pipeBytesPerSecond: number;
   readonly usualPromptTokens: number;
   readonly usualAnswerTokens: number;
@@ -94,20 +100,20 @@
 
 export interface RoutedService {
   readonly id: ServiceId;
-  /** Connections that each of its engines takes from all callers together. */
+  /** Maximum number of connections that each engine of the service accepts in total. */
   readonly maxConnections: number;
-  /** Path at which they tell of their health; null if it is not known. */
+  /** Health check path of the engines; null if it is not known. */
   readonly healthPath: string | null;
-  /** Null for a plain service. */
+  /** Null for a service that is not a model distributed over engines. */
   readonly pipeline: PipelineFacts | null;
 }
 
-/** One accepted version of the configuration, whole. */
+/** One complete, accepted version of the configuration. */
 export interface RouteConfig {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
-  /** Null if the configuration knows no keys, so that every caller is let in. */
+  /** Null if the configuration contains no keys; every caller is then admitted. */
   readonly teams: readonly RouteTeam[] | null;
   readonly limits: CallerLimits;
 }
--- a/packages/routes/src/__tests__/unit/RouteTable.test.ts
+++ b/packages/routes/src/__tests__/unit/RouteTable.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('RouteTable', () => {
-  it('takes the longest prefix that ends at a slash', () => {
+  it('matches the longest prefix that ends at a slash', () => {
     const table = createRouteTable(
       createConfig([createRoute('/'), createRoute('/a/'), createRoute('/a/b/')]),
     );
@@ -44,20 +44,20 @@
     expect(find('/ab/c')).to.equal('/');
   });
 
-  it('finds nothing on another host or without a prefix that fits', () => {
+  it('finds no route for another host or without a matching prefix', () => {
     const table = createRouteTable(createConfig([createRoute('/a/')]));
     expect(table.findRoute('other', '/a/x')).to.equal(null);
     expect(table.findRoute('h', '/b/x')).to.equal(null);
     expect(table.findRoute('h', '')).to.equal(null);
   });
 
-  it('knows a team by each of its keys', () => {
+  it('finds a team by each of its keys', () => {
     const table = createRouteTable(createConfig([]));
     expect(table.findTeam('k2')?.id).to.equal('branches');
     expect(table.findTeam('k3')).to.equal(null);
   });
 
-  it('looks up a route among thousands in microseconds', () => {
+  it('finds each of thousands of routes', () => {
     const routes = Array.from({ length: 5000 }, (_, i) => createRoute(`/r${i}/x/`));
     const table = createRouteTable(createConfig(routes));
     const found = routes.filter(
@@ -66,7 +66,7 @@
     expect(found).to.have.length(5000);
   });
 
-  it('draws services by their weights', () => {
+  it('picks services by weight', () => {
     const route = createRoute('/', {
       targets: [
         { service: 'a', weight: 90 },
