--- a/packages/daemon/src/DaemonClaims.ts
+++ b/packages/daemon/src/DaemonClaims.ts
@@ -1,4 +1,4 @@
-/** Claims of keyed requests on this instance, joined to the platform and to the other instances. */
+/** Connects the claims of keyed requests on this instance to the store and to the other instances. */
 import { randomBytes } from 'node:crypto';
 import { z } from 'zod';
 import type { ClaimPeerMessage, ClaimPeerReply } from '@skylarksail/claims/ClaimMessages';
@@ -16,13 +16,13 @@
 import { DaemonError } from './DaemonErrors.js';
 import type { DaemonFleet } from './DaemonFleet.js';
 
-/** Slots of the whole fleet. Changing it would part the claims of one key, so it never changes. */
+/** Number of claim slots of the fleet. It must never change: keys with existing claims would map to other slots. */
 export const CLAIM_SLOTS = 64;
 
-/** When a call to a peer is given up. The router of claims asks again sooner, perhaps another owner. */
+/** Timeout of a call to a peer. The claim router retries sooner, possibly with another owner. */
 const PEER_TIMEOUT: Millis = 5000;
 
-/** The name of a process stands in each stored claim, so it is kept short. */
+/** Kept short, since each stored claim contains the process name. */
 const BOOT_ID_BYTES = 8;
 
 const CLAIM_TOPIC = createCallTopic<ClaimPeerMessage, ClaimPeerReply>('claim');
@@ -91,7 +91,7 @@
     sendToPeer: async (to, message) => {
       const reply = await fleet.calls.call(to, CLAIM_TOPIC, message, PEER_TIMEOUT);
       if (!reply.ok) {
-        throw new DaemonError(`no answer of ${to}: ${reply.error.kind}`);
+        throw new DaemonError(`claim call to instance ${to} failed: ${reply.error.kind}`);
       }
       return reply.value;
     },
--- a/packages/daemon/src/DaemonDecisions.ts
+++ b/packages/daemon/src/DaemonDecisions.ts
@@ -1,7 +1,7 @@
-/** Decisions: a log line each, and the latest ones kept for `skylarksail explain`. */
+/** Log of decisions on requests; the latest ones are also kept in memory for `skylarksail explain`. */
 import type { DaemonLogger } from './DaemonLog.js';
 
-/** One decision on a request; the rest of the fields say what was weighed. */
+/** A decision on a request; the other fields are the inputs that it is based on. */
 export interface Decision {
   readonly request: string;
   readonly decision: string;
@@ -9,10 +9,10 @@
 }
 
 /**
- * Decisions that every request that goes well has, logged at level info. All others are logged as
- * warnings, so that they are kept where the reader of the lines is too slow for all.
+ * Decisions that occur in every successful request; they are logged at level info. All others are logged
+ * as warnings, so that the log sink drops them last if its reader is too slow.
  */
-const ORDINARY: ReadonlySet<string> = new Set([
+const ROUTINE_DECISIONS: ReadonlySet<string> = new Set([
   'routed',
   'admit',
   'chain-chosen',
@@ -21,30 +21,30 @@
   'complete',
   'answered',
 ]);
-const KEPT_REQUESTS = 4096;
-const KEPT_PER_REQUEST = 64;
+const MAX_REQUESTS = 4096;
+const MAX_DECISIONS_PER_REQUEST = 64;
 
 export interface DecisionLog {
   record(decision: Decision): void;
-  /** Decisions on a request, oldest first; empty if none is remembered. */
+  /** Returns the decisions on a request, oldest first; empty if none is kept. */
   read(request: string): readonly Decision[];
 }
 
 export function createDecisionLog(logger: DaemonLogger, wallNow: () => number): DecisionLog {
-  const kept = new Map<string, Decision[]>();
+  const decisionsByRequest = new Map<string, Decision[]>();
   return {
     record(decision) {
-      logger[ORDINARY.has(decision.decision) ? 'info' : 'warn'](decision, 'decision');
-      const stamped = { ...decision, at: new Date(wallNow()).toISOString() };
-      const known = kept.get(decision.request) ?? [];
-      if (known.length < KEPT_PER_REQUEST) {
-        known.push(stamped);
+      logger[ROUTINE_DECISIONS.has(decision.decision) ? 'info' : 'warn'](decision, 'decision');
+      const timestamped = { ...decision, at: new Date(wallNow()).toISOString() };
+      const known = decisionsByRequest.get(decision.request) ?? [];
+      if (known.length < MAX_DECISIONS_PER_REQUEST) {
+        known.push(timestamped);
       }
-      kept.set(decision.request, known);
-      if (kept.size > KEPT_REQUESTS) {
-        kept.delete(kept.keys().next().value as string);
+      decisionsByRequest.set(decision.request, known);
+      if (decisionsByRequest.size > MAX_REQUESTS) {
+        decisionsByRequest.delete(decisionsByRequest.keys().next().value as string);
       }
     },
-    read: (request) => kept.get(request) ?? [],
+    read: (request) => decisionsByRequest.get(request) ?? [],
   };
 }
--- a/packages/daemon/src/DaemonDrains.ts
+++ b/packages/daemon/src/DaemonDrains.ts
@@ -1,6 +1,6 @@
 /**
- * Empties an engine before it is ordered to load something else. The instance that places the domain
- * tells the others to give it no new work, and orders once nothing runs there any more.
+ * Drains an engine before it is ordered to load something else. The instance with the placement duty of the
+ * domain notifies the others, which send it no new work, and issues the order once nothing runs there.
  */
 import { z } from 'zod';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -9,22 +9,22 @@
 import type { EngineDirectory } from './DaemonEngines.js';
 import type { DaemonFleet } from './DaemonFleet.js';
 
-/** A drain that is not asked for again ends by itself, so that a dead holder leaves none behind. */
-const DRAIN_NOTICE_LIFE: Millis = 5000;
+/** A drain expires unless it is renewed, so that none is left behind if the requesting instance dies. */
+const DRAIN_NOTICE_TTL: Millis = 5000;
 
-/** Longer than a poll and the way of its report: a count of 0 before that may be out of date. */
-const LEAST_DRAIN: Millis = 2500;
+/** Longer than a polling period plus the delivery of the report: before that, a running count of 0 may be stale. */
+const MIN_DRAIN_TIME: Millis = 2500;
 
-/** An answer that runs longer than this is cut off its engine and goes on elsewhere. */
-const LONGEST_DRAIN: Millis = 30_000;
+/** After this time the order is issued anyway; answers that still run are continued on other engines. */
+const MAX_DRAIN_TIME: Millis = 30_000;
 
 const DRAIN_TOPIC = createNoticeTopic<{ readonly engine: EngineId }>('engine-drain');
 const noticeSchema = z.object({ engine: z.string().max(200) });
 
 export interface DaemonDrains {
-  /** Whether an engine may be ordered now; asks the domain to drain it, and must be called again. */
+  /** Whether an engine may receive an order now. Each call starts or renews the drain, so call it until true. */
   isReadyForOrder(engine: EngineId): boolean;
-  /** Engines that get no new work while others can take it. */
+  /** Engines that receive no new work while other engines can take it. */
   listDraining(): readonly EngineId[];
   stop: Unregister;
 }
@@ -40,37 +40,37 @@
   fleet,
   directory,
 }: DaemonDrainsOptions): DaemonDrains {
-  const heardAt = new Map<EngineId, Millis>();
+  const notedAt = new Map<EngineId, Millis>();
   const startedAt = new Map<EngineId, Millis>();
 
-  function hear(engine: EngineId): void {
-    heardAt.set(engine, timers.now());
+  function noteDrain(engine: EngineId): void {
+    notedAt.set(engine, timers.now());
   }
 
-  function isHeard(engine: EngineId): boolean {
-    return timers.now() - (heardAt.get(engine) ?? -Infinity) < DRAIN_NOTICE_LIFE;
+  function isDraining(engine: EngineId): boolean {
+    return timers.now() - (notedAt.get(engine) ?? -Infinity) < DRAIN_NOTICE_TTL;
   }
 
   const stop = fleet.calls.registerNotice(DRAIN_TOPIC, (payload) => {
     const parsed = noticeSchema.safeParse(payload);
     if (parsed.success) {
-      hear(parsed.data.engine);
+      noteDrain(parsed.data.engine);
     }
   });
 
   return {
     isReadyForOrder(engine) {
       const now = timers.now();
-      const start = isHeard(engine) ? (startedAt.get(engine) ?? now) : now;
+      const start = isDraining(engine) ? (startedAt.get(engine) ?? now) : now;
       startedAt.set(engine, start);
-      hear(engine);
+      noteDrain(engine);
       fleet.listOwnDomain().forEach((peer) => fleet.calls.notify(peer, DRAIN_TOPIC, { engine }));
       const status = directory.listReports().find(({ facts }) => facts.id === engine);
-      const isIdle = status?.load.running === 0 && now - start >= LEAST_DRAIN;
-      // An engine that holds nothing runs nothing, and one that has to restore capacity must not wait.
-      return isIdle || status?.load.holding === null || now - start >= LONGEST_DRAIN;
+      const isIdle = status?.load.running === 0 && now - start >= MIN_DRAIN_TIME;
+      // An engine without layers runs nothing, and orders that restore capacity must not be delayed.
+      return isIdle || status?.load.holding === null || now - start >= MAX_DRAIN_TIME;
     },
-    listDraining: () => [...heardAt.keys()].filter(isHeard),
+    listDraining: () => [...notedAt.keys()].filter(isDraining),
     stop,
   };
 }
--- a/packages/daemon/src/DaemonEngineFrames.ts
+++ b/packages/daemon/src/DaemonEngineFrames.ts
@@ -1,8 +1,8 @@
-/** Reads the engines' stream: bytes to lines to typed frames, with a bound on the length of a line. */
+/** Parses the stream of an engine from bytes to lines to typed frames, with a limit on the line length. */
 import { StringDecoder } from 'node:string_decoder';
 import { z } from 'zod';
 
-/** A line longer than this is not a frame of any engine that works. */
+/** Maximum length of a line; no working engine sends a longer frame. */
 export const MAX_FRAME_BYTES = 256 * 1024;
 
 const layersSchema = z.object({ first: z.int(), end: z.int() });
@@ -33,13 +33,13 @@
   | z.output<typeof failedSchema>
   | { readonly type: 'token'; readonly index: number; readonly token: string };
 
-const rareFrameSchema = z.discriminatedUnion('type', [
+const nonTokenFrameSchema = z.discriminatedUnion('type', [
   acknowledgementSchema,
   endSchema,
   failedSchema,
 ]);
 
-/** Reads one line; null if it is not a frame. Tokens, nearly all lines, skip the schema library. */
+/** Parses one line; null if it is not a valid frame. Token frames, nearly all lines, bypass the schema library. */
 export function parseEngineFrame(line: string): EngineFrame | null {
   let json: unknown;
   try {
@@ -53,19 +53,19 @@
       ? { type: 'token', index: frame.index as number, token: frame.token }
       : null;
   }
-  const parsed = rareFrameSchema.safeParse(json);
+  const parsed = nonTokenFrameSchema.safeParse(json);
   return parsed.success ? parsed.data : null;
 }
 
-/** Joins chunks of bytes into lines. `push` gives null once a line exceeds the bound. */
+/** Splits chunks of bytes into lines. `push` returns null if an unfinished line exceeds the limit. */
 export function createLineReader(): { push(chunk: Buffer): readonly string[] | null } {
   const decoder = new StringDecoder('utf8');
-  let rest = '';
+  let partialLine = '';
   return {
     push(chunk) {
-      const lines = (rest + decoder.write(chunk)).split('\n');
-      rest = lines.pop() ?? '';
-      return rest.length > MAX_FRAME_BYTES ? null : lines;
+      const lines = (partialLine + decoder.write(chunk)).split('\n');
+      partialLine = lines.pop() ?? '';
+      return partialLine.length > MAX_FRAME_BYTES ? null : lines;
     },
   };
 }
--- a/packages/daemon/src/DaemonEngineHttp.ts
+++ b/packages/daemon/src/DaemonEngineHttp.ts
@@ -1,4 +1,4 @@
-/** Calls to model engines over HTTP: the adapter behind OpenEngineCall. */
+/** Calls to model engines over HTTP; implements OpenEngineCall. */
 import { Agent } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { Chain } from '@skylarksail/core/CoreChain';
@@ -17,12 +17,12 @@
 const STATUS_OK = 200;
 const CONNECTIONS_PER_ENGINE = 512;
 const KEEP_ALIVE_MS = 10_000;
-/** A refusal is short; what goes beyond is not kept. */
+/** Limit for the body of a refusal, which is normally short; chunks beyond it are discarded. */
 const MAX_REFUSAL_CHARACTERS = 64 * 1024;
-/** An engine that gave its last frame but leaves the stream open would hold a connection for ever. */
-const END_TIMEOUT: Millis = 1000;
+/** Limits how long an engine may hold the connection by leaving the stream open after its last frame. */
+const STREAM_END_TIMEOUT: Millis = 1000;
 
-/** Gives an engine's address, or null if it is no longer known. */
+/** Returns the address of an engine, or null if it is unknown. */
 export type FindEngineAddress = (engine: EngineId) => HostPort | null;
 
 /** Creates the adapter; `close` ends its connections. */
@@ -56,17 +56,17 @@
   const head = call.chain.stages[0]?.engine ?? '';
   const body = createBody(call.chain, findAddress, call);
   const address = findAddress(head);
-  let ended = false;
+  let isEnded = false;
 
-  function end(tell: () => void): void {
-    if (!ended) {
-      ended = true;
-      tell();
+  function endAttempt(notify: () => void): void {
+    if (!isEnded) {
+      isEnded = true;
+      notify();
     }
   }
 
   function fail(failure: Partial<AttemptFailure> & Pick<AttemptFailure, 'place'>): void {
-    end(() =>
+    endAttempt(() =>
       listener.onFailure({
         engine: head,
         status: null,
@@ -80,7 +80,7 @@
   if (!address || body === null) {
     queueMicrotask(() => fail({ place: FailurePlace.Connect, provenNotRun: true }));
     return () => {
-      ended = true;
+      isEnded = true;
     };
   }
 
@@ -88,7 +88,7 @@
   let isAborted = false;
   let status: number | null = null;
   let refusal = '';
-  let cancelLinger: Unregister | null = null;
+  let cancelEndTimeout: Unregister | null = null;
   const reader = createLineReader();
 
   function abort(): void {
@@ -96,9 +96,9 @@
     controller?.abort(new Error('the attempt is over'));
   }
 
-  /** The attempt's last frame has come: the stream ends by itself, and its connection serves on. */
-  function linger(): void {
-    cancelLinger = timers.registerTimeout(END_TIMEOUT, abort);
+  /** After the last frame, lets the stream end normally so that its connection can be reused. */
+  function awaitStreamEnd(): void {
+    cancelEndTimeout = timers.registerTimeout(STREAM_END_TIMEOUT, abort);
   }
 
   function handleData(chunk: Buffer): void {
@@ -106,9 +106,9 @@
       refusal += refusal.length < MAX_REFUSAL_CHARACTERS ? chunk.toString() : '';
       return;
     }
-    const lines = ended ? [] : reader.push(chunk);
+    const lines = isEnded ? [] : reader.push(chunk);
     if (lines === null) {
-      failGarbage();
+      failMalformed();
     } else {
       lines.forEach(handleLine);
     }
@@ -119,8 +119,8 @@
     fail({ place: FailurePlace.Refused, status, retryAfter, provenNotRun: notRun });
   }
 
-  // The bare handler: a readable stream, its iterator and an abort signal for each call cost more
-  // memory and time than all that is done with a token.
+  // Uses the low-level handler, since a readable stream, its iterator and an abort signal per call cost more
+  // memory and time than all processing of a token.
   const handler: Dispatcher.DispatchHandler = {
     onRequestStart(started) {
       controller = started;
@@ -135,16 +135,16 @@
       handleData(chunk);
     },
     onResponseEnd() {
-      cancelLinger?.();
+      cancelEndTimeout?.();
       if (status === STATUS_OK) {
-        // An answer is whole only with its end frame: a stream that just stops is a failure.
+        // A stream that ends without an end frame is a failure, since the answer is incomplete.
         fail({ place: FailurePlace.Stream });
       } else {
         failRefused();
       }
     },
     onResponseError(_controller, err) {
-      cancelLinger?.();
+      cancelEndTimeout?.();
       fail(status === null ? classifySocketError(err) : { place: FailurePlace.Stream });
     },
   };
@@ -160,18 +160,18 @@
   );
 
   function handleLine(line: string): void {
-    if (ended || line === '') {
+    if (isEnded || line === '') {
       return;
     }
     const frame = parseEngineFrame(line);
     if (frame === null) {
-      failGarbage();
+      failMalformed();
     } else {
       handleFrame(frame);
     }
   }
 
-  function failGarbage(): void {
+  function failMalformed(): void {
     fail({ place: FailurePlace.Garbage });
     abort();
   }
@@ -185,11 +185,11 @@
         listener.onToken(frame.index, frame.token);
         break;
       case 'end':
-        linger();
-        end(() => listener.onEnd(frame.reason, frame.tokens));
+        awaitStreamEnd();
+        endAttempt(() => listener.onEnd(frame.reason, frame.tokens));
         break;
       case 'failed':
-        linger();
+        awaitStreamEnd();
         fail({ place: FailurePlace.Stage, engine: frame.engine, status: frame.status });
         break;
       default:
@@ -197,14 +197,14 @@
   }
 
   return () => {
-    ended = true;
-    if (cancelLinger === null) {
+    isEnded = true;
+    if (cancelEndTimeout === null) {
       abort();
     }
   };
 }
 
-/** Null if the address of a stage is not known, in which case nothing is sent. */
+/** Returns null if the address of a stage is unknown, in which case nothing is sent. */
 function createBody(
   chain: Chain,
   findAddress: FindEngineAddress,
@@ -231,7 +231,7 @@
   };
 }
 
-/** The engine's own word on whether it started; anything else proves nothing. */
+/** Reads whether the engine declares that it did not run the request; without `notRun` it may have run. */
 function parseRefusal(text: string): { notRun: boolean; retryAfter: number | null } {
   try {
     const json = JSON.parse(text) as { notRun?: unknown; retryAfterMs?: unknown } | null;
@@ -251,7 +251,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Only an error that comes before there is a connection proves that no byte left us. */
+/** Only an error before the connection is established proves that nothing was sent. */
 export function classifySocketError(err: unknown): Pick<AttemptFailure, 'place' | 'provenNotRun'> {
   const code = (err as { code?: unknown } | null)?.code;
   return typeof code === 'string' && NO_CONNECTION_CODES.has(code)
--- a/packages/daemon/src/DaemonEngineStatus.ts
+++ b/packages/daemon/src/DaemonEngineStatus.ts
@@ -1,4 +1,4 @@
-/** An engine's report: its shape, and the adapter that asks for it over HTTP. */
+/** Status reports of engines: their schema, and the adapter that fetches them over HTTP. */
 import { Agent } from 'undici';
 import { z } from 'zod';
 import type { EngineFacts, EngineLoad } from '@skylarksail/core/CoreEngine';
@@ -10,7 +10,7 @@
 
 const layersSchema = z.object({ first: z.int(), end: z.int() });
 
-/** Shape of a report, from an engine or from another instance. */
+/** Schema of a report from an engine or from another instance. */
 export const engineStatusSchema = z.object({
   load: z.object({
     engine: z.string(),
@@ -44,13 +44,13 @@
   }),
 });
 
-/** An engine's report as it came. */
+/** Report of an engine: its current load, and its properties. */
 export interface EngineStatus {
   readonly load: EngineLoad;
   readonly facts: EngineFacts;
 }
 
-/** Asks an engine for its report; null if none came that makes sense. */
+/** Fetches the report of an engine; null if the call fails or the report is invalid. */
 export type FetchEngineStatus = (address: HostPort) => Promise<EngineStatus | null>;
 
 /** Creates the adapter over HTTP. */
@@ -78,12 +78,12 @@
   };
 }
 
-/** Whether the two differ in what digests of load do not carry. */
+/** Whether two reports differ in fields that load digests do not carry, or the first one is missing. */
 export function hasReportChanged(before: EngineStatus | undefined, after: EngineStatus): boolean {
-  return before === undefined || getLastingPart(before) !== getLastingPart(after);
+  return before === undefined || serializeNoticeFields(before) !== serializeNoticeFields(after);
 }
 
-function getLastingPart({ facts, load }: EngineStatus): string {
+function serializeNoticeFields({ facts, load }: EngineStatus): string {
   const { bootId, state, holding, orderNumber } = load;
   return JSON.stringify([facts, bootId, state, holding, orderNumber]);
 }
--- a/packages/daemon/src/DaemonEngines.ts
+++ b/packages/daemon/src/DaemonEngines.ts
@@ -1,7 +1,7 @@
 /**
- * What this instance knows of backend servers. Each engine is polled by one instance of its domain.
- * What changes seldom travels as a notice to the others, load as a small digest on membership's
- * messages; a starting instance asks a peer for all of it.
+ * Directory of the backend servers. Each engine is polled by one instance of its domain, which notifies the
+ * others when a rarely changing field changes; load spreads in small digests on membership messages. Reports
+ * on engines of another domain are queried from one of its instances.
  */
 import { z } from 'zod';
 import { InstanceRole, LifeState } from '@skylarksail/core/CoreConstants';
@@ -17,21 +17,21 @@
 import { engineStatusSchema, hasReportChanged } from './DaemonEngineStatus.js';
 import type { DaemonFleet } from './DaemonFleet.js';
 
-/** How often an engine is polled. A leaving engine must get no new work within 3 s. */
+/** Polling period of an engine. New work to a leaving engine must stop within 3 s. */
 export const ENGINE_POLL_PERIOD: Millis = 2000;
 const DIGEST_PERIOD: Millis = 500;
-const FOREIGN_PERIOD: Millis = 5000;
+const FOREIGN_QUERY_PERIOD: Millis = 5000;
 const PEER_TIMEOUT: Millis = 1500;
 
-/** Engines of another domain that are told at once; more would not fit the bytes of a node. */
-const MAX_FOREIGN = 64;
+/** Maximum number of reports in a reply to another domain; more would exceed the byte limit per node. */
+const MAX_FOREIGN_REPORTS = 64;
 
 interface KnownReport {
   readonly status: EngineStatus;
   readonly seenAt: Millis;
 }
 
-/** A report on its way between instances; `age` is in milliseconds. */
+/** A report as sent between instances; `age` is in milliseconds, since clocks differ between instances. */
 interface SentReport {
   readonly status: EngineStatus;
   readonly age: Millis;
@@ -43,21 +43,21 @@
   'engine-reports',
 );
 
-/** What the directory tells its listener. */
+/** Listener for changes of the directory. */
 export interface EngineListener {
   onFacts(facts: readonly EngineFacts[]): void;
-  /** Reports that came together, which are cheaper to take in together. */
+  /** Receives load reports in batches, since processing them together is cheaper. */
   onLoads(reports: readonly SeenEngineLoad[]): void;
   onLeaving(engine: EngineId): void;
-  /** The engine did not answer its poll. */
+  /** The engine did not answer a poll, or answered for another engine. */
   onPollUnanswered(engine: EngineId): void;
 }
 
 export interface EngineDirectory {
-  /** Takes in a new reading of the instance list. */
+  /** Replaces the instance list. */
   setRecords(records: readonly InstanceRecord[]): void;
   findAddress(id: EngineId): HostPort | null;
-  /** Live backend servers of a plain service: those whose id is the service's, or `service/…`. */
+  /** Live backend servers of a plain service: those whose ID equals the service's, or starts with `service/`. */
   listServers(service: string): readonly EngineId[];
   listEngines(): readonly EngineFacts[];
   listReports(): readonly EngineStatus[];
@@ -71,7 +71,7 @@
   readonly random: Random;
   readonly fleet: DaemonFleet;
   readonly fetchStatus: FetchEngineStatus;
-  /** Duties that are held besides polling. */
+  /** Duties besides polling; they are assigned together with the polling duties. */
   readonly otherDuties: readonly string[];
 }
 
@@ -80,8 +80,8 @@
   const listeners = new Set<EngineListener>();
   const records = new Map<string, InstanceRecord>();
   const reports = new Map<EngineId, KnownReport>();
-  const polling = new Set<EngineId>();
-  const loads = createLoadSpread();
+  const pollsInFlight = new Set<EngineId>();
+  const loadSpread = createLoadSpread();
 
   function setRecords(list: readonly InstanceRecord[]): void {
     records.clear();
@@ -91,13 +91,13 @@
     const gone = [...reports.keys()].filter((id) => !records.has(id));
     gone.forEach((id) => reports.delete(id));
     if (gone.length > 0) {
-      tellFacts();
+      notifyFacts();
     }
     const engines = listOwnEngines();
     fleet.duties.setDuties([...options.otherDuties, ...engines.map(({ id }) => getPollDuty(id))]);
     [...records.values()]
       .filter(({ role, state }) => role === InstanceRole.Engine && state === LifeState.Leaving)
-      .forEach(({ id }) => tell((listener) => listener.onLeaving(id)));
+      .forEach(({ id }) => notifyListeners((listener) => listener.onLeaving(id)));
     pollUnknown();
   }
 
@@ -107,39 +107,39 @@
     );
   }
 
-  function tell(act: (listener: EngineListener) => void): void {
+  function notifyListeners(act: (listener: EngineListener) => void): void {
     listeners.forEach(act);
   }
 
-  function tellFacts(): void {
+  function notifyFacts(): void {
     const facts = [...reports.values()].map(({ status }) => status.facts);
-    tell((listener) => listener.onFacts(facts));
+    notifyListeners((listener) => listener.onFacts(facts));
   }
 
   async function poll(record: InstanceRecord): Promise<void> {
-    // An engine that hangs must not collect one waiting poll after another.
-    if (polling.has(record.id)) {
+    // Polls of an engine that hangs must not pile up.
+    if (pollsInFlight.has(record.id)) {
       return;
     }
-    polling.add(record.id);
+    pollsInFlight.add(record.id);
     const status = await options.fetchStatus(record.address);
-    polling.delete(record.id);
+    pollsInFlight.delete(record.id);
     if (!status || status.load.engine !== record.id || !records.has(record.id)) {
-      tell((listener) => listener.onPollUnanswered(record.id));
+      notifyListeners((listener) => listener.onPollUnanswered(record.id));
       return;
     }
     const { domain: ownDomain, rack, address } = record;
     const facts = { ...status.facts, domain: ownDomain, rack, address };
     const polled = { ...status, facts };
-    const isNews = hasReportChanged(reports.get(record.id)?.status, polled);
-    takeReport(polled, timers.now());
-    loads.recordLoad(polled.load, timers.now());
-    if (isNews && fleet.duties.isOwn(getPollDuty(record.id))) {
-      tellPeers(polled);
+    const hasChanged = hasReportChanged(reports.get(record.id)?.status, polled);
+    storeReport(polled, timers.now());
+    loadSpread.recordLoad(polled.load, timers.now());
+    if (hasChanged && fleet.duties.isOwn(getPollDuty(record.id))) {
+      notifyPeers(polled);
     }
   }
 
-  function takeReport(status: EngineStatus, seenAt: Millis): void {
+  function storeReport(status: EngineStatus, seenAt: Millis): void {
     const { id } = status.facts;
     const known = reports.get(id);
     if (known && known.seenAt > seenAt) {
@@ -147,18 +147,18 @@
     }
     reports.set(id, { status, seenAt });
     if (!known || JSON.stringify(known.status.facts) !== JSON.stringify(status.facts)) {
-      tellFacts();
+      notifyFacts();
     }
-    tell((listener) => listener.onLoads([{ load: status.load, seenAt }]));
+    notifyListeners((listener) => listener.onLoads([{ load: status.load, seenAt }]));
   }
 
-  function tellPeers(status: EngineStatus): void {
+  function notifyPeers(status: EngineStatus): void {
     fleet
       .listOwnDomain()
       .forEach((peer) => fleet.calls.notify(peer, REPORT_NOTICE, { status, age: 0 }));
   }
 
-  /** Polls what nobody has told of yet, so that the first start and a lost notice heal by themselves. */
+  /** Polls engines without a report, which covers the first start and lost notices. */
   function pollUnknown(): void {
     listOwnEngines()
       .filter(({ id }) => !reports.has(id))
@@ -175,41 +175,41 @@
       });
   }
 
-  /** Brings what digests say into the reports of engines that others poll. */
-  function readDigests(): void {
-    const news: SeenEngineLoad[] = [];
+  /** Applies load digests to the reports of engines that other instances poll. */
+  function applyDigests(): void {
+    const updates: SeenEngineLoad[] = [];
     reports.forEach(({ status, seenAt }, id) => {
-      const told = loads.getLoad(id);
+      const told = loadSpread.getLoad(id);
       if (told && told.seenAt > seenAt) {
         const { running, queued, kvUsed, state } = told;
         const load = { ...status.load, running, queued, kvUsed, state };
         reports.set(id, { status: { ...status, load }, seenAt: told.seenAt });
-        news.push({ load, seenAt: told.seenAt });
+        updates.push({ load, seenAt: told.seenAt });
       }
     });
-    if (news.length > 0) {
-      tell((listener) => listener.onLoads(news));
+    if (updates.length > 0) {
+      notifyListeners((listener) => listener.onLoads(updates));
     }
   }
 
-  /** Asks one instance of each other domain, so that its engines can be borrowed when it comes to that. */
-  async function askForeign(): Promise<void> {
+  /** Queries one instance of each other domain, so that requests can run on engines of that domain if needed. */
+  async function queryForeignDomains(): Promise<void> {
     const live = fleet.membership.getLiveInstances().filter((peer) => peer.domain !== domain);
     const domains = [...new Set(live.map((peer) => peer.domain))];
     await Promise.all(
       domains.map((foreign) =>
-        askPeer(live.filter((peer) => peer.domain === foreign).map(({ id }) => id)),
+        queryPeer(live.filter((peer) => peer.domain === foreign).map(({ id }) => id)),
       ),
     );
   }
 
-  async function askPeer(candidates: readonly string[]): Promise<void> {
+  async function queryPeer(candidates: readonly string[]): Promise<void> {
     const [peer] = sampleElements(random, candidates, 1);
     if (peer === undefined) {
       return;
     }
-    const question = { limit: MAX_FOREIGN };
-    const reply = await fleet.calls.call(peer, REPORTS_CALL, question, PEER_TIMEOUT);
+    const query = { limit: MAX_FOREIGN_REPORTS };
+    const reply = await fleet.calls.call(peer, REPORTS_CALL, query, PEER_TIMEOUT);
     const parsed = z.array(sentReportSchema).safeParse(reply.ok ? reply.value : null);
     if (parsed.success) {
       parsed.data.forEach(receiveReport);
@@ -217,23 +217,25 @@
   }
 
   function receiveReport({ status, age }: SentReport): void {
-    // Only what the platform lists is an engine; a report of anything else is out of date.
+    // A report of an engine that is not in the instance list is out of date.
     if (records.has(status.facts.id)) {
-      takeReport(status, timers.now() - age);
+      storeReport(status, timers.now() - age);
     }
   }
 
   function sendReports(limit: number): readonly SentReport[] {
     const own = [...reports.values()].filter(({ status }) => status.facts.domain === domain);
-    return sampleElements(random, own, Math.min(limit, MAX_FOREIGN)).map(({ status, seenAt }) => ({
-      status,
-      age: timers.now() - seenAt,
-    }));
+    return sampleElements(random, own, Math.min(limit, MAX_FOREIGN_REPORTS)).map(
+      ({ status, seenAt }) => ({
+        status,
+        age: timers.now() - seenAt,
+      }),
+    );
   }
 
   function start(): Unregister {
     const undo = [
-      fleet.membership.registerTopic(loads.topic),
+      fleet.membership.registerTopic(loadSpread.topic),
       fleet.calls.registerHandler(REPORTS_CALL, ({ limit }) => sendReports(Number(limit) || 0)),
       fleet.calls.registerNotice(REPORT_NOTICE, (sent) => {
         const parsed = sentReportSchema.safeParse(sent);
@@ -242,9 +244,9 @@
         }
       }),
       timers.registerInterval(ENGINE_POLL_PERIOD, pollOwned),
-      timers.registerInterval(DIGEST_PERIOD, readDigests),
-      timers.registerInterval(FOREIGN_PERIOD, () => {
-        void askForeign();
+      timers.registerInterval(DIGEST_PERIOD, applyDigests),
+      timers.registerInterval(FOREIGN_QUERY_PERIOD, () => {
+        void queryForeignDomains();
         pollUnknown();
       }),
     ];
--- a/packages/daemon/src/DaemonFleet.ts
+++ b/packages/daemon/src/DaemonFleet.ts
@@ -1,4 +1,4 @@
-/** The other instances: membership, and calls between instances, carried over the peers' link. */
+/** Membership of the fleet, and calls between instances, both over the peer link. */
 import { randomInt } from 'node:crypto';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
@@ -19,14 +19,14 @@
 
 const LIST_TIMEOUT_MS = 2000;
 const LIST_JITTER = 0.2;
-const BOOT_RANGE = 2 ** 31;
+const BOOT_ID_RANGE = 2 ** 31;
 const MILLIS_PER_SECOND = 1000;
 
 /**
- * List readers read often enough that a new backend server is used soon; the others' period grows with
- * the fleet, so that all readings together stay at about ten a second at 680 instances.
+ * Designated list readers read often, so that a new backend server is used soon. The period of the others
+ * grows with the fleet, so that the total stays at about ten reads per second with 680 instances.
  */
-const LIST_TIMES = { listPeriod: 2000, slowListPeriod: 3000 };
+const LIST_PERIODS = { listPeriod: 2000, slowListPeriod: 3000 };
 
 export interface DaemonFleet {
   readonly membership: Membership;
@@ -35,13 +35,13 @@
   readonly link: PeerLink;
   /** Live instances of the own domain, this one included. */
   listOwnDomain(): readonly InstanceId[];
-  /** Live instances of all domains that can be reached, this one included. */
+  /** Live instances of all reachable domains, this one included. */
   listLive(): readonly InstanceId[];
-  /** Hears of each reading of the platform's list. */
+  /** Registers a listener that receives the platform's instance list after each read. */
   registerListListener(listener: (records: readonly InstanceRecord[]) => void): Unregister;
-  /** Reads the platform's list now; false if no answer came. */
+  /** Reads the platform's instance list now; false if the read failed. */
   refreshList(): Promise<boolean>;
-  /** Envelopes that made no sense. */
+  /** Number of received envelopes that could not be decoded or handled. */
   countMalformedEnvelopes(): number;
   start(): Unregister;
 }
@@ -63,11 +63,11 @@
     rack: settings.rack,
     address: { host: settings.callers.host, port: settings.callers.port },
     peerPort: settings.peers.port,
-    bootId: randomInt(BOOT_RANGE),
+    bootId: randomInt(BOOT_ID_RANGE),
     incarnation: Math.floor(wallNow() / MILLIS_PER_SECOND),
   };
   const listListeners = new Set<(records: readonly InstanceRecord[]) => void>();
-  let garbage = 0;
+  let malformedEnvelopes = 0;
 
   const link = await startPeerLink({
     self: self.id,
@@ -81,7 +81,7 @@
     self,
     timers,
     random,
-    cfg: LIST_TIMES,
+    cfg: LIST_PERIODS,
     send: (to, bytes) => {
       link.send({ host: to.address.host, port: to.peerPort }, bytes);
     },
@@ -107,11 +107,11 @@
         calls.receive(envelope);
       }
     } catch {
-      garbage += 1;
+      malformedEnvelopes += 1;
     }
   }
 
-  /** A broken connection is word of a death seconds before probes go unanswered. */
+  /** Reports a broken connection to membership, seconds before probes would detect a dead instance. */
   function reportLost({ host, port }: HostPort): void {
     const lost = membership
       .getLiveInstances()
@@ -165,7 +165,7 @@
       };
     },
     refreshList,
-    countMalformedEnvelopes: () => garbage,
+    countMalformedEnvelopes: () => malformedEnvelopes,
     start,
   };
 }
--- a/packages/daemon/src/DaemonLogSink.ts
+++ b/packages/daemon/src/DaemonLogSink.ts
@@ -1,67 +1,67 @@
 /**
- * Where log lines go: a bounded buffer in front of a file descriptor. A reader that stops reading costs
- * lines and never requests; lines of the ordinary course go first, so that those of a failure are kept.
+ * Destination of log lines: a bounded buffer in front of a file descriptor. If the reader stops, lines are
+ * dropped and requests are not delayed; lines up to level info are dropped first, to keep those of failures.
  */
 import { write } from 'node:fs';
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 
-/** Writes bytes, and tells how many were written. */
+/** Writes bytes, possibly not all of them, and passes the number written to the callback. */
 export type WriteBytes = (
   bytes: Uint8Array,
   done: (err: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
-/** Lines that were dropped. */
+/** Number of dropped lines by level. */
 export interface DroppedLines {
-  /** Up to level info. */
+  /** Lines up to level info. */
   readonly ordinary: number;
-  /** Above it. */
+  /** Lines above level info. */
   readonly unusual: number;
 }
 
 export interface LogSink {
-  /** Level of the line that is written next; the logger sets it. */
+  /** Level of the next line to be written; set by the logger. */
   lastLevel: number;
   write(line: string): void;
-  /** Begins to write what waits. It blocks nothing, so the process ends a moment later. */
+  /** Starts writing the buffered lines. It does not block, so the process must not exit at once. */
   flush(): void;
   getDropped(): DroppedLines;
-  /** Calls the listener once lines flow again after some were dropped. */
+  /** Registers a listener that is called at the end of the first batch after lines were dropped. */
   registerDropListener(listener: (dropped: DroppedLines) => void): Unregister;
 }
 
-/** The logger's level info. */
-const INFO = 30;
-/** A write costs a system call: lines wait for each other so long, or until there are so many bytes. */
+/** Numeric level info of pino. */
+const INFO_LEVEL = 30;
+/** Lines are batched up to this size or delay, since each write costs a system call. */
 const BATCH_BYTES = 4096;
-const BATCH_TIME: Millis = 200;
-/** A fiftieth of the memory that the smallest instance has (250 MB); some 20,000 lines. */
-const MOST_BYTES = 5_000_000;
-/** Part of it that ordinary lines may fill. */
+const BATCH_DELAY: Millis = 200;
+/** One fiftieth of the memory of the smallest instance (250 MB); about 20,000 lines. */
+const MAX_BUFFERED_BYTES = 5_000_000;
+/** Share of the buffer that lines up to level info may fill. */
 const ORDINARY_SHARE = 0.5;
-/** Wait before a descriptor that takes nothing now is tried again. */
-const BUSY_PAUSE: Millis = 50;
+/** Delay before a write is retried after EAGAIN. */
+const BUSY_RETRY_DELAY: Millis = 50;
 
-/** The logger tells the level of a line to a stream that has this mark. */
-const METADATA = Symbol.for('pino.metadata');
+/** pino sets `lastLevel` on streams that have this symbol. */
+const PINO_METADATA = Symbol.for('pino.metadata');
 
 export function createLogSink(writeBytes: WriteBytes): LogSink {
   const listeners = new Set<(dropped: DroppedLines) => void>();
   let lines: string[] = [];
-  let bytes = 0;
+  let bufferedBytes = 0;
   let isWriting = false;
   let timer: NodeJS.Timeout | null = null;
   let dropped: DroppedLines = { ordinary: 0, unusual: 0 };
-  let told = 0;
+  let reportedDrops = 0;
 
-  function drop(isOrdinary: boolean, count = 1): void {
+  function countDropped(isOrdinary: boolean, count = 1): void {
     const { ordinary, unusual } = dropped;
     dropped = isOrdinary
       ? { ordinary: ordinary + count, unusual }
       : { ordinary, unusual: unusual + count };
   }
 
-  function start(): void {
+  function writeBatch(): void {
     if (timer !== null) {
       clearTimeout(timer);
       timer = null;
@@ -70,7 +70,7 @@
       isWriting = true;
       const batch = Buffer.from(lines.join(''));
       lines = [];
-      bytes = batch.byteLength;
+      bufferedBytes = batch.byteLength;
       writeRest(batch);
     }
   }
@@ -78,26 +78,26 @@
   function writeRest(rest: Uint8Array): void {
     writeBytes(rest, (err, written) => {
       if (err?.code === 'EAGAIN') {
-        setTimeout(() => writeRest(rest), BUSY_PAUSE).unref();
+        setTimeout(() => writeRest(rest), BUSY_RETRY_DELAY).unref();
       } else if (err !== null) {
-        // The reader is gone: what was meant for it is lost, and later lines find out for themselves.
-        drop(false);
-        finish(rest.byteLength);
+        // The reader is gone: this batch is lost (counted as one line); later batches are tried all the same.
+        countDropped(false);
+        finishBatch(rest.byteLength);
       } else if (written < rest.byteLength) {
-        bytes -= written;
+        bufferedBytes -= written;
         writeRest(rest.subarray(written));
       } else {
-        finish(written);
+        finishBatch(written);
       }
     });
   }
 
-  function finish(written: number): void {
+  function finishBatch(written: number): void {
     isWriting = false;
-    bytes -= written;
+    bufferedBytes -= written;
     const total = dropped.ordinary + dropped.unusual;
-    if (total > told) {
-      told = total;
+    if (total > reportedDrops) {
+      reportedDrops = total;
       listeners.forEach((listener) => listener(dropped));
     }
     schedule();
@@ -107,37 +107,37 @@
     if (isWriting || lines.length === 0) {
       return;
     }
-    if (bytes >= BATCH_BYTES) {
-      start();
+    if (bufferedBytes >= BATCH_BYTES) {
+      writeBatch();
     } else {
-      timer ??= setTimeout(start, BATCH_TIME).unref();
+      timer ??= setTimeout(writeBatch, BATCH_DELAY).unref();
     }
   }
 
   const sink: LogSink = {
-    lastLevel: INFO,
+    lastLevel: INFO_LEVEL,
     write(line) {
-      const isOrdinary = sink.lastLevel <= INFO;
-      const most = isOrdinary ? ORDINARY_SHARE * MOST_BYTES : MOST_BYTES;
-      if (bytes + line.length > most) {
-        drop(isOrdinary);
+      const isOrdinary = sink.lastLevel <= INFO_LEVEL;
+      const maxBytes = isOrdinary ? ORDINARY_SHARE * MAX_BUFFERED_BYTES : MAX_BUFFERED_BYTES;
+      if (bufferedBytes + line.length > maxBytes) {
+        countDropped(isOrdinary);
         return;
       }
       lines.push(line);
-      bytes += line.length;
+      bufferedBytes += line.length;
       schedule();
     },
-    flush: start,
+    flush: writeBatch,
     getDropped: () => dropped,
     registerDropListener(listener) {
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
   };
-  return Object.assign(sink, { [METADATA]: true });
+  return Object.assign(sink, { [PINO_METADATA]: true });
 }
 
-/** Writes to an open descriptor of this process, such as 1 for standard output. */
+/** Creates a writer to an open file descriptor of this process, such as 1 for standard output. */
 export function createDescriptorWriter(descriptor: number): WriteBytes {
   return (bytes, done) => write(descriptor, bytes, done);
 }
--- a/packages/daemon/src/DaemonManifest.ts
+++ b/packages/daemon/src/DaemonManifest.ts
@@ -1,4 +1,4 @@
-/** The manifest on this instance: the view in force, and the operators' way to submit another. */
+/** The manifest on this instance: its view in force, and the submission of new manifests by operators. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
@@ -31,33 +31,33 @@
 import type { DaemonFleet } from './DaemonFleet.js';
 
 const CALL_TIMEOUT: Millis = 2000;
-/** A first load of 47,000 teams writes about 2,100 chunks, which takes most of a minute. */
+/** The first manifest with 47,000 teams writes about 2,100 chunks, which takes most of a minute. */
 const SUBMIT_DEADLINE: Millis = 60_000;
 const READ_DEADLINE: Millis = 5000;
 const HISTORY_LENGTH = 100;
 const GARBAGE_PERIOD: Millis = 300_000;
 const GARBAGE_DEADLINE: Millis = 30_000;
-const GARBAGE_REMOVALS = 200;
+const MAX_GARBAGE_REMOVALS = 200;
 
-/** The duty of removing what no revision names any more. */
+/** Duty of removing chunks that no revision refers to any more. */
 const GARBAGE_DUTY = 'manifest-garbage';
 
-const SPREAD_TOPIC = createNoticeTopic<unknown>('manifest');
+const MANIFEST_TOPIC = createNoticeTopic<unknown>('manifest');
 
 export interface DaemonManifest {
   getView(): ManifestView | null;
-  /** How this instance knows the revision in force. */
+  /** How this instance learned the revision in force. */
   getKnownBy(): string;
   submit(
     input: unknown,
     submissionId: string,
     expectedRevision: number | null,
   ): Promise<SubmitOutcome>;
-  /** The whole manifest in force, for operators. */
+  /** Returns the complete manifest in force, for operators; null if there is none yet. */
   readManifest(): { readonly revision: number; readonly manifest: Manifest } | null;
   diff(next: Manifest): readonly ManifestChange[];
   readHistory(): Promise<readonly RevisionSummary[]>;
-  /** How far a revision is in force, domain by domain; asking also refreshes what is known. */
+  /** Returns the progress of a revision by domain as known now, and queries the domains to refresh it. */
   queryInForce(revision: number): readonly DomainInForce[];
   registerListener(listener: (view: ManifestView) => void): Unregister;
   stop(): void;
@@ -65,7 +65,7 @@
 
 export interface DaemonManifestOptions {
   readonly self: { readonly id: string; readonly domain: string };
-  /** The platform itself; the manifest's calls have rates of their own. */
+  /** The store port without rate limits; the manifest's calls have limits of their own. */
   readonly port: StorePort;
   readonly fleet: DaemonFleet;
   readonly timers: TimerService;
@@ -74,8 +74,8 @@
 
 export function startDaemonManifest(options: DaemonManifestOptions): DaemonManifest {
   const { self, fleet, timers, random } = options;
-  // The rates of other uses are shared over all instances; of the manifest's calls few instances make
-  // nearly all, and a share of a 680th would let none of them submit.
+  // Rate limits of other uses are divided by the number of instances. Few instances make nearly all of the
+  // manifest's calls, and one 680th of the rate would be too little for any of them to submit.
   const client = createStoreClient({
     port: options.port,
     timers,
@@ -90,7 +90,7 @@
     timers,
     random,
     callTimeout: CALL_TIMEOUT,
-    pause: letOthersRun,
+    pause: yieldToEventLoop,
   };
   const listeners = new Set<(view: ManifestView) => void>();
 
@@ -101,12 +101,12 @@
     timers,
     random,
     sendToPeer: (to, message) => {
-      fleet.calls.notify(to, SPREAD_TOPIC, message);
+      fleet.calls.notify(to, MANIFEST_TOPIC, message);
     },
     onInForce: (view) => listeners.forEach((listener) => listener(view)),
   });
   const undo = [
-    fleet.calls.registerNotice(SPREAD_TOPIC, (message, from) =>
+    fleet.calls.registerNotice(MANIFEST_TOPIC, (message, from) =>
       runner.receiveMessage(from, message),
     ),
     fleet.membership.registerListener(() => runner.changeMembers(listMembers(fleet))),
@@ -121,7 +121,7 @@
     const housekeeping = client.forUse(StoreUse.Housekeeping);
     return collectGarbage(
       { ...ctx, platform: housekeeping },
-      { deadline: timers.now() + GARBAGE_DEADLINE, maxRemovals: GARBAGE_REMOVALS },
+      { deadline: timers.now() + GARBAGE_DEADLINE, maxRemovals: MAX_GARBAGE_REMOVALS },
     );
   }
 
@@ -147,8 +147,8 @@
       }),
     readManifest: readWhole,
     diff: (next) => {
-      const whole = readWhole();
-      return whole ? diffManifests(whole.manifest, next) : [];
+      const current = readWhole();
+      return current ? diffManifests(current.manifest, next) : [];
     },
     async readHistory() {
       const root = runner.getState().inForce?.root;
@@ -183,12 +183,12 @@
   return fleet.membership.getLiveInstances().map(({ id, domain }) => ({ id, domain }));
 }
 
-/** Large manifests are worked on in slices, so that tokens of running answers are not held up. */
-function letOthersRun(): Promise<void> {
+/** Large manifests are processed in slices, so that tokens of running answers are not delayed. */
+function yieldToEventLoop(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-/** Duties that the manifest needs somebody to hold. */
+/** Duties of the manifest that must be assigned to an instance. */
 export const MANIFEST_DUTIES: readonly string[] = [GARBAGE_DUTY];
--- a/packages/daemon/src/DaemonMetrics.ts
+++ b/packages/daemon/src/DaemonMetrics.ts
@@ -1,13 +1,13 @@
-/** Metrics for Prometheus: what the router counts, and gauges read when they are asked for. */
+/** Prometheus metrics: counters and histograms of the router, and gauges that are read at each scrape. */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 import type { RouterMetric, RouterMetricName } from '@skylarksail/requests/RouterTypes';
 
-/** Each sample wakes the process, also an idle one; delays that callers notice are longer than this anyway. */
-const LOOP_PRECISION_MS = 1000;
+/** Every sample wakes the process, even when it is idle; delays that callers notice exceed this period. */
+const EVENT_LOOP_SAMPLE_PERIOD_MS = 1000;
 
 const TIME_BUCKETS_MS = [1, 2, 5, 10, 20, 40, 78, 150, 300, 600, 1000, 2000, 4000, 8000, 16000];
 
-/** Metric of the router to its name in Prometheus. */
+/** Maps router metrics to Prometheus names. */
 const ROUTER_COUNTERS: Readonly<Partial<Record<RouterMetricName, string>>> = {
   lateFrames: 'late_frames',
   repeatedFrames: 'repeated_frames',
@@ -25,7 +25,7 @@
   gaveUpDeadlineNear: 'requests_given_up_deadline_near',
   gaveUpStandstill: 'requests_given_up_standstill',
 };
-const ROUTER_TIMES: Readonly<Partial<Record<RouterMetricName, string>>> = {
+const ROUTER_HISTOGRAMS: Readonly<Partial<Record<RouterMetricName, string>>> = {
   firstTokenMs: 'first_token',
   gapMs: 'token_gap',
   detectionMs: 'failure_detection',
@@ -36,11 +36,11 @@
 
 export interface DaemonMetrics {
   recordRouterMetric(metric: RouterMetric): void;
-  /** A counter that grows by `count`. */
+  /** Increments a counter, which is created at its first use. */
   count(name: string, help: string, count?: number): void;
-  /** A gauge whose value is read when Prometheus asks. */
+  /** Registers a gauge whose value is read at each scrape. */
   registerGauge(name: string, help: string, read: () => number): void;
-  /** The exposition text. */
+  /** Returns the metrics in the text exposition format. */
   write(): Promise<string>;
   readonly contentType: string;
 }
@@ -48,12 +48,15 @@
 export function createDaemonMetrics(): DaemonMetrics {
   const registries = { gauges: new Registry(), counters: new Registry(), times: new Registry() };
   const runtime = new Registry();
-  collectDefaultMetrics({ register: runtime, eventLoopMonitoringPrecision: LOOP_PRECISION_MS });
-  const counters = new Map<string, Counter>();
-  const times = new Map<string, Histogram>();
+  collectDefaultMetrics({
+    register: runtime,
+    eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_PERIOD_MS,
+  });
+  const countersByName = new Map<string, Counter>();
+  const histogramsByName = new Map<string, Histogram>();
 
   function getCounter(name: string, help: string): Counter {
-    const found = counters.get(name);
+    const found = countersByName.get(name);
     if (found) {
       return found;
     }
@@ -62,12 +65,12 @@
       help,
       registers: [registries.counters],
     });
-    counters.set(name, created);
+    countersByName.set(name, created);
     return created;
   }
 
-  function getTimes(name: string): Histogram {
-    const found = times.get(name);
+  function getHistogram(name: string): Histogram {
+    const found = histogramsByName.get(name);
     if (found) {
       return found;
     }
@@ -77,21 +80,21 @@
       buckets: TIME_BUCKETS_MS,
       registers: [registries.times],
     });
-    times.set(name, created);
+    histogramsByName.set(name, created);
     return created;
   }
 
   Object.values(ROUTER_COUNTERS).forEach((name) => getCounter(name, name.replaceAll('_', ' ')));
-  Object.values(ROUTER_TIMES).forEach(getTimes);
+  Object.values(ROUTER_HISTOGRAMS).forEach(getHistogram);
 
   return {
     recordRouterMetric({ name, value }) {
       const counter = ROUTER_COUNTERS[name];
-      const time = ROUTER_TIMES[name];
+      const histogram = ROUTER_HISTOGRAMS[name];
       if (counter) {
         getCounter(counter, counter).inc(value);
-      } else if (time) {
-        getTimes(time).observe(value);
+      } else if (histogram) {
+        getHistogram(histogram).observe(value);
       }
     },
     count: (name, help, count = 1) => getCounter(name, help).inc(count),
@@ -107,7 +110,7 @@
       gauge.set(read());
     },
     async write() {
-      // A collector that keeps the beginning only is to see what the instance knows, not the runtime's figures.
+      // Gauges come first, since a collector may keep only the beginning of a scrape; runtime metrics come last.
       const { gauges, counters: counts, times: histograms } = registries;
       const texts = await Promise.all(
         [gauges, counts, histograms, runtime].map((registry) => registry.metrics()),
--- a/packages/daemon/src/DaemonOrderHttp.ts
+++ b/packages/daemon/src/DaemonOrderHttp.ts
@@ -1,4 +1,4 @@
-/** Orders to engines over HTTP: the adapter behind placement's `sendOrder`. */
+/** Sends orders to engines over HTTP; implements placement's `sendOrder`. */
 import { Agent } from 'undici';
 import { z } from 'zod';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
@@ -9,7 +9,7 @@
 const STATUS_OK = 200;
 const STATUS_CONFLICT = 409;
 
-/** Loading weights takes long; an order without an answer is settled by the engine's own report. */
+/** Long, since loading weights is slow. Without a reply, the engine's report shows the outcome of an order. */
 const ORDER_TIMEOUT: Millis = 120_000;
 
 const doneSchema = z.object({
@@ -46,7 +46,7 @@
       signal: createTimeoutSignal(ORDER_TIMEOUT),
     });
     const json: unknown = await res.body.json();
-    return readAnswer(res.statusCode, json);
+    return parseOrderAnswer(res.statusCode, json);
   }
 
   return {
@@ -55,7 +55,7 @@
   };
 }
 
-function readAnswer(status: number, json: unknown): OrderAnswer {
+function parseOrderAnswer(status: number, json: unknown): OrderAnswer {
   if (status === STATUS_OK) {
     const done = doneSchema.safeParse(json);
     return done.success ? { kind: 'done', holding: done.data.holding } : { kind: 'unknown' };
--- a/packages/daemon/src/DaemonPeers.ts
+++ b/packages/daemon/src/DaemonPeers.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between instances over ws. A peer proves the shared secret before any message of its is
- * read; what the bytes mean is for the packages above, which count and drop garbage.
+ * Messages between instances over WebSocket. A peer must prove knowledge of the shared secret before any of
+ * its messages is read. Messages are opaque here; the caller decodes them and drops malformed ones.
  */
 import type { AddressInfo } from 'node:net';
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
@@ -12,22 +12,22 @@
 const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
 const HANDSHAKE_TIMEOUT_MS = 3000;
 const NONCE_BYTES = 16;
-/** Messages to one peer that wait for its connection; gossip repeats what is dropped. */
-const MAX_WAITING = 256;
+/** Maximum number of messages queued per peer while its connection opens; gossip repeats dropped ones. */
+const MAX_PENDING_MESSAGES = 256;
 const PROOF_HEADER = 'x-peer-proof';
 const NONCE_HEADER = 'x-peer-nonce';
 const NAME_HEADER = 'x-peer-name';
 const TIME_HEADER = 'x-peer-time';
 
-/** How much the clocks of two instances may differ before a proof is taken for a replay. */
+/** Maximum clock difference between two instances; an older or newer proof is rejected as a replay. */
 const MAX_CLOCK_SKEW_MS = 120_000;
 
 export interface PeerLink {
-  /** The port that it listens on. */
+  /** The listening port. */
   readonly port: number;
-  /** Sends if it can; false if the message was dropped. */
+  /** Sends or queues a message; false if it was dropped. */
   send(address: HostPort, bytes: Uint8Array): boolean;
-  /** Bytes sent and received since the start, and messages dropped. */
+  /** Returns the counts since the start. */
   readCounts(): PeerCounts;
   close(): Promise<void>;
 }
@@ -35,7 +35,9 @@
 export interface PeerCounts {
   readonly sentBytes: number;
   readonly receivedBytes: number;
+  /** Messages that were dropped. */
   readonly dropped: number;
+  /** Connections without a valid proof, and server errors. */
   readonly refused: number;
 }
 
@@ -45,16 +47,16 @@
   readonly secret: string;
   readonly wallNow: () => Millis;
   readonly onMessage: (bytes: Uint8Array) => void;
-  /** A connection that we dialled was refused or broke, while the link is not being closed. */
+  /** Called when an outgoing connection is refused or breaks, except while the link closes. */
   readonly onLost: (address: HostPort) => void;
 }
 
-/** Starts listening for peers and dials them as messages are sent. */
+/** Listens for peers, and connects to a peer when a message is sent to it. */
 export async function startPeerLink(options: PeerLinkOptions): Promise<PeerLink> {
-  const dialled = new Map<string, WebSocket>();
+  const outgoing = new Map<string, WebSocket>();
   /**
-   * What waits for connections that are being made. A listener for each message would be one for each
-   * of the hundreds that a lost peer is sent, which Node takes for a leak.
+   * Messages queued for connections that are still opening. One 'open' listener per message would be
+   * hundreds on the socket of a lost peer, for which Node warns of a leak.
    */
   const waiting = new Map<WebSocket, Uint8Array[]>();
   const seenNonces = new Map<string, Millis>();
@@ -97,14 +99,14 @@
     });
   }
 
-  function dial(address: HostPort, name: string): WebSocket {
+  function connect(address: HostPort, name: string): WebSocket {
     const socket = new WebSocket(`ws://${name}`, {
       handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
       maxPayload: MAX_MESSAGE_BYTES,
       perMessageDeflate: false,
       headers: createProof(options),
     });
-    dialled.set(name, socket);
+    outgoing.set(name, socket);
     readFrom(socket);
     waiting.set(socket, []);
     socket.once('open', () => {
@@ -114,8 +116,8 @@
     socket.on('close', () => {
       dropped += waiting.get(socket)?.length ?? 0;
       waiting.delete(socket);
-      if (dialled.get(name) === socket) {
-        dialled.delete(name);
+      if (outgoing.get(name) === socket) {
+        outgoing.delete(name);
       }
       if (!isClosing) {
         options.onLost(address);
@@ -128,7 +130,7 @@
     port: (server.address() as AddressInfo).port,
     send(address, bytes) {
       const name = `${address.host}:${address.port}`;
-      const socket = dialled.get(name) ?? dial(address, name);
+      const socket = outgoing.get(name) ?? connect(address, name);
       if (socket.bufferedAmount > MAX_QUEUED_BYTES) {
         dropped += 1;
         return false;
@@ -136,7 +138,7 @@
       sentBytes += bytes.byteLength;
       if (socket.readyState === WebSocket.OPEN) {
         socket.send(bytes);
-      } else if ((waiting.get(socket)?.length ?? MAX_WAITING) < MAX_WAITING) {
+      } else if ((waiting.get(socket)?.length ?? MAX_PENDING_MESSAGES) < MAX_PENDING_MESSAGES) {
         waiting.get(socket)?.push(bytes);
       } else {
         dropped += 1;
@@ -147,7 +149,7 @@
     readCounts: () => ({ sentBytes, receivedBytes, dropped, refused }),
     async close() {
       isClosing = true;
-      dialled.forEach((socket) => socket.terminate());
+      outgoing.forEach((socket) => socket.terminate());
       server.clients.forEach((socket) => socket.terminate());
       await new Promise<void>((resolve) => {
         server.close(() => resolve());
@@ -172,8 +174,8 @@
 }
 
 /**
- * A proof seen on the wire could be sent again by somebody else, who would then be taken for a peer.
- * The time bounds how long a proof is good, and within that time its nonce is taken once.
+ * Prevents replays: somebody who captured a proof could otherwise send it again and pose as a peer. The
+ * time limits how long a proof is valid, and its nonce is accepted once within that time.
  */
 function isProofValid(
   headers: Readonly<Record<string, string | string[] | undefined>>,
--- a/packages/daemon/src/DaemonPlacement.ts
+++ b/packages/daemon/src/DaemonPlacement.ts
@@ -1,4 +1,4 @@
-/** Placement of this instance's domain, and the versions that new requests may run there. */
+/** Placement in this instance's domain, and the model versions that new requests may use there. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, InstanceId, Millis, ModelId, VersionId } from '@skylarksail/core/CoreTypes';
@@ -20,14 +20,14 @@
 import type { Settings } from './DaemonSettings.js';
 import type { createOrderHttp } from './DaemonOrderHttp.js';
 
-/** The duty of placing the own domain. */
+/** Duty of running the placement of the own domain. */
 export const PLACEMENT_DUTY = 'placement';
 
 const VERSIONS_PERIOD: Millis = 500;
 
 export interface DaemonPlacement {
   getStatus(): PlacementStatus;
-  /** Version that a new request shall run; the manifest's own while no whole chain holds any. */
+  /** Chooses the version for a new request; the manifest's version while no complete chain holds any. */
   chooseVersion(model: ManifestModel): VersionId;
   stop(): void;
 }
@@ -60,8 +60,8 @@
     const serves = view?.getDomain(domain)?.serves ?? [];
     versions = new Map(
       (view?.models ?? []).map((model) => {
-        const least = serves.find((served) => served.model === model.id)?.minTokensPerSecond ?? 0;
-        return [model.id, getServableVersions(model, least, reports)];
+        const minRate = serves.find((served) => served.model === model.id)?.minTokensPerSecond ?? 0;
+        return [model.id, getServableVersions(model, minRate, reports)];
       }),
     );
   }
--- a/packages/daemon/src/DaemonPlatformHttp.ts
+++ b/packages/daemon/src/DaemonPlatformHttp.ts
@@ -1,4 +1,4 @@
-/** The platform's services over HTTP: the adapter behind the StorePort. */
+/** Client of the platform's services over HTTP; implements StorePort. */
 import { Agent } from 'undici';
 import { z } from 'zod';
 import {
@@ -69,17 +69,20 @@
   const origin = `http://${address.host}:${address.port}`;
 
   /**
-   * A write whose answer is lost may have taken effect. Whatever is not a clear answer of the service
-   * is therefore `unknown`, also a status that only something between us and the service would send.
+   * Sends a request. A write whose response is lost may have taken effect, so anything but a clear response
+   * of the service is `unknown`, including statuses that only an intermediary would send.
    */
   async function send<T>(call: HttpCall<T>): Promise<StoreOutcome<T>> {
-    const arrival = startResponseTimeout(timers, { begin: call.timeout, ...LARGE_RESPONSE_LIMITS });
+    const responseTimeout = startResponseTimeout(timers, {
+      begin: call.timeout,
+      ...LARGE_RESPONSE_LIMITS,
+    });
     try {
       const res = await agent.request({
         origin,
         path: call.path,
         method: call.method,
-        signal: arrival.signal,
+        signal: responseTimeout.signal,
         ...(call.body === undefined
           ? {}
           : {
@@ -87,7 +90,7 @@
               body: JSON.stringify(call.body),
             }),
       });
-      const text = (await collectResponseBody(arrival, res.body)).toString('utf8');
+      const text = (await collectResponseBody(responseTimeout, res.body)).toString('utf8');
       const json: unknown = JSON.parse(text);
       if (res.statusCode === STATUS_OK) {
         return { kind: 'done', value: call.parse(json) };
@@ -97,7 +100,7 @@
     } catch {
       return { kind: 'unknown' };
     } finally {
-      arrival.end();
+      responseTimeout.end();
     }
   }
 
--- a/packages/daemon/src/DaemonPoison.ts
+++ b/packages/daemon/src/DaemonPoison.ts
@@ -1,4 +1,4 @@
-/** Carries what is known of requests that crash engines between the instances of a domain. */
+/** Exchanges reports of poison requests, which crash engines, between the instances of a domain. */
 import { z } from 'zod';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { sampleElements } from '@skylarksail/core/CoreRandom';
@@ -9,15 +9,15 @@
 import type { RequestRouter } from '@skylarksail/requests/RequestRouter';
 import type { DaemonFleet } from './DaemonFleet.js';
 
-/** A caller's resend may reach another instance this soon after the crash and find it unaware. */
-const NEWS_PERIOD: Millis = 200;
-const REPAIR_PERIOD: Millis = 10_000;
+/** Kept short, since the caller may resend the request to another instance soon after the crash. */
+const UPDATE_PERIOD: Millis = 200;
+const EXCHANGE_PERIOD: Millis = 10_000;
 const MAX_REPORTS = 256;
 const MAX_NAMES = 4096;
 
 const POISON_TOPIC = createNoticeTopic<PoisonDigest>('poison');
 
-const names = z.array(z.string().max(200)).max(MAX_NAMES);
+const nameListSchema = z.array(z.string().max(200)).max(MAX_NAMES);
 const digestSchema = z.object({
   reports: z
     .array(
@@ -25,8 +25,8 @@
         crash: z.string().max(400),
         age: z.number().min(0),
         disproven: z.boolean(),
-        suspects: names,
-        cleared: names,
+        suspects: nameListSchema,
+        cleared: nameListSchema,
       }),
     )
     .max(MAX_REPORTS),
@@ -40,10 +40,10 @@
   readonly random: Random;
 }
 
-/** Starts it. News goes to all of the domain at once; what was lost is repaired by random exchange. */
+/** Starts the exchange. Updates go to the whole domain; periodic sends to a random peer make up for losses. */
 export function startDaemonPoison(options: DaemonPoisonOptions): Unregister {
   const { self, fleet, router, timers, random } = options;
-  let toldVersion = '';
+  let sentVersion = '';
 
   function listPeers(): readonly string[] {
     return fleet.listOwnDomain().filter((id) => id !== self);
@@ -56,10 +56,10 @@
     }
   }
 
-  function tellNews(): void {
-    const version = describeVersion(router.getPoisonDigest());
-    if (version !== toldVersion) {
-      toldVersion = version;
+  function sendUpdates(): void {
+    const version = computeVersion(router.getPoisonDigest());
+    if (version !== sentVersion) {
+      sentVersion = version;
       send(listPeers());
     }
   }
@@ -68,18 +68,18 @@
     fleet.calls.registerNotice(POISON_TOPIC, (payload) => {
       const parsed = digestSchema.safeParse(payload);
       if (parsed.success && router.mergePoison(parsed.data)) {
-        // The sender has told the whole domain; telling it again would only repeat that.
-        toldVersion = describeVersion(router.getPoisonDigest());
+        // The sender has sent this to the whole domain already, so it is not passed on.
+        sentVersion = computeVersion(router.getPoisonDigest());
       }
     }),
-    timers.registerInterval(NEWS_PERIOD, tellNews),
-    timers.registerInterval(REPAIR_PERIOD, () => send(sampleElements(random, listPeers(), 1))),
+    timers.registerInterval(UPDATE_PERIOD, sendUpdates),
+    timers.registerInterval(EXCHANGE_PERIOD, () => send(sampleElements(random, listPeers(), 1))),
   ];
   return () => undo.forEach((stop) => stop());
 }
 
-/** Changes when the sets grow; ages are left out, since they change all the time. */
-function describeVersion({ reports }: PoisonDigest): string {
+/** A string that changes when reports are added or their sets grow; ages are excluded, since they always change. */
+function computeVersion({ reports }: PoisonDigest): string {
   return reports
     .map(
       ({ crash, disproven, suspects, cleared }) =>
--- a/packages/daemon/src/DaemonRouting.ts
+++ b/packages/daemon/src/DaemonRouting.ts
@@ -1,4 +1,4 @@
-/** Joins the pure routing state to the router of requests, and logs what was weighed. */
+/** Adapts the pure routing state to the request router, and logs each decision with its candidates. */
 import type { Chain, Stage } from '@skylarksail/core/CoreChain';
 import type { EngineFacts, SeenEngineLoad } from '@skylarksail/core/CoreEngine';
 import type { Random } from '@skylarksail/core/CoreRandom';
@@ -40,13 +40,13 @@
 } from '@skylarksail/routing/RoutingState';
 import type { DecisionLog } from './DaemonDecisions.js';
 
-/** How often capacity shares are worked out anew, if anything changed. */
+/** Period at which capacity shares are recomputed if their inputs changed. */
 const PLAN_PERIOD: Millis = 500;
 
-/** Tokens after which the mean time between them is noted; each one would cost more than it tells. */
+/** Number of tokens over which the mean gap is sampled; recording each token costs more than it is worth. */
 const GAP_SAMPLE_TOKENS = 16;
 
-/** What routing is told of models, links, regions and limits. */
+/** Routing inputs on models, links, regions and limits. */
 export type FleetFacts = Partial<Pick<RoutingState, 'models' | 'links' | 'regions'>> & {
   readonly tuning?: Partial<RoutingState['tuning']>;
 };
@@ -55,22 +55,22 @@
   readonly chooseChain: ChooseChain;
   readonly chooseRepair: ChooseRepair;
   getBootId(engine: EngineId): string | null;
-  /** KV cache of the own domain's engines that this instance may count on, in tokens. */
+  /** This instance's share of the KV cache of its own domain's engines, in tokens; null if unknown. */
   getKvCapacity(): number | null;
   setEngineFacts(facts: readonly EngineFacts[]): void;
   setEngineLoads(reports: readonly SeenEngineLoad[]): void;
   setLeaving(engine: EngineId): void;
   setManifest(view: ManifestView): void;
-  /** The same facts where they come from elsewhere; what is left out stays. */
+  /** Sets routing inputs that do not come from a manifest; omitted fields keep their values. */
   setFleetFacts(facts: FleetFacts): void;
-  /** Instances of the own domain, and of all others. */
+  /** Sets the number of instances in the own domain and in all other domains. */
   setInstanceCounts(own: number, foreign: number): void;
   setDomainReach(domain: DomainId, reachable: boolean): void;
-  /** The same calls, with their times between tokens noted while they run. */
+  /** Wraps `open` so that gaps between tokens are recorded while a call runs. */
   trackTokenGaps(open: OpenEngineCall): OpenEngineCall;
-  /** What streams that share a link tell of it. */
+  /** Detects slow links from the pace of the streams that share them. */
   readonly links: LinkMonitor;
-  /** Starts working out capacity shares anew as engines change. */
+  /** Starts the periodic recomputation of capacity shares. */
   start(): Unregister;
   getState(): RoutingState;
 }
@@ -80,11 +80,11 @@
   readonly timers: TimerService;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  /** Engines that get no new work while others can take it. */
+  /** Engines that receive no new work while other engines can take it. */
   readonly listDraining: () => readonly EngineId[];
   /**
-   * Whether a decision names the chains that were weighed, or only their scores. Chains of a dozen engines
-   * make two kilobytes a request, most of what an instance logs.
+   * If set, a decision is logged with the scores of its candidates only, without their chains. Chains of
+   * a dozen engines take two kilobytes per request, most of what an instance logs.
    */
   readonly isBrief?: boolean;
 }
@@ -93,7 +93,7 @@
   const { domain, timers, random, decisions } = options;
   let state = createRoutingState({ domain });
 
-  function createAsk({ spec, contextTokens, avoid, isBegun }: ChainRequest): ChainQuery {
+  function createQuery({ spec, contextTokens, avoid, isBegun }: ChainRequest): ChainQuery {
     const { variant, layerCount, priority, maxTokens } = spec;
     const answerTokens = state.models.get(variant.model)?.usualAnswerTokens;
     return {
@@ -114,10 +114,10 @@
     };
   }
 
-  /** Keeps off engines that are being emptied, but takes them rather than refuse the request. */
+  /** Avoids draining engines, but uses them if the request would be refused otherwise. */
   function avoidDraining<T>(
     ask: ChainQuery,
-    select: (wished: ChainQuery) => Result<T, RoutingRefusal>,
+    select: (effectiveQuery: ChainQuery) => Result<T, RoutingRefusal>,
   ): Result<T, RoutingRefusal> {
     const draining = options.listDraining();
     if (draining.length === 0) {
@@ -128,7 +128,7 @@
     return choice.ok ? choice : select(ask);
   }
 
-  /** Records the chosen chain's work, and takes it off again when the attempt is over. */
+  /** Records the work of the chosen chain; the returned hold removes it when the attempt is over. */
   function startCall(
     chain: Chain,
     ask: ChainQuery,
@@ -136,8 +136,8 @@
     importFrom: readonly Stage[],
   ): RequestChoice {
     const { promptTokens, maxTokens, answerTokens, prefixKeys } = ask;
-    const expected = answerTokens === undefined ? {} : { answerTokens };
-    const call = { chain, promptTokens, maxTokens, ...expected, prefixKeys, cachedTokens };
+    const expectedAnswer = answerTokens === undefined ? {} : { answerTokens };
+    const call = { chain, promptTokens, maxTokens, ...expectedAnswer, prefixKeys, cachedTokens };
     let hadFirstToken = false;
     state = recordCallStart(state, call);
     return {
@@ -157,10 +157,10 @@
   }
 
   /**
-   * An engine that slows down would be heard of only when its long answers end. The mean of some
-   * tokens is noted while they come, so that later requests keep off it sooner.
+   * Records the mean gap every few tokens while a call runs. If it were recorded only at the end, a slowdown
+   * of an engine that generates long answers would be noticed late, and new requests would still go there.
    */
-  function watchCall(chain: Chain, listener: EngineCallListener): EngineCallListener {
+  function trackCallGaps(chain: Chain, listener: EngineCallListener): EngineCallListener {
     let tokens = 0;
     let sampledAt = 0;
     return {
@@ -186,15 +186,15 @@
     chosen: Chain,
   ): void {
     const chain = chosen.stages.map(({ engine }) => engine);
-    const weighed = options.isBrief
+    const details = options.isBrief
       ? { scores: candidates.map(({ score }) => Math.round(score)) }
       : { chain, candidates };
-    decisions.record({ request, decision, ...weighed });
+    decisions.record({ request, decision, ...details });
   }
 
-  function refuse(request: string, refusal: RoutingRefusal): RequestChoice {
+  function recordRefusal(request: string, refusal: RoutingRefusal): RequestChoice {
     const { kind, retryAfter } = refusal;
-    const weighed =
+    const details =
       refusal.kind === 'cut-off'
         ? {
             own: refusal.own,
@@ -203,33 +203,35 @@
               .join(', '),
           }
         : {};
-    decisions.record({ request, decision: 'no-chain-found', reason: kind, ...weighed });
+    decisions.record({ request, decision: 'no-chain-found', reason: kind, ...details });
     return { kind: 'none', isFull: kind === 'no-capacity', retryAfter };
   }
 
   return {
-    chooseChain(wish) {
-      const ask = createAsk(wish);
-      const choice = avoidDraining(ask, (wished) => selectChain(state, wished, random));
+    chooseChain(request) {
+      const ask = createQuery(request);
+      const choice = avoidDraining(ask, (effectiveQuery) =>
+        selectChain(state, effectiveQuery, random),
+      );
       if (!choice.ok) {
-        return refuse(wish.spec.id, choice.error);
+        return recordRefusal(request.spec.id, choice.error);
       }
       const { chain, candidates, cachedTokens } = choice.value;
-      logChoice(wish.spec.id, 'chain-chosen', candidates, chain);
+      logChoice(request.spec.id, 'chain-chosen', candidates, chain);
       return startCall(chain, ask, cachedTokens, []);
     },
-    chooseRepair(wish) {
-      const ask = createAsk(wish);
-      const failed = new Set(wish.failed);
-      const choice = avoidDraining(ask, (wished) =>
-        selectRepair(state, wish.broken, failed, wished, random),
+    chooseRepair(request) {
+      const ask = createQuery(request);
+      const failed = new Set(request.failed);
+      const choice = avoidDraining(ask, (effectiveQuery) =>
+        selectRepair(state, request.broken, failed, effectiveQuery, random),
       );
       if (!choice.ok) {
-        return refuse(wish.spec.id, choice.error);
+        return recordRefusal(request.spec.id, choice.error);
       }
       const { chain, candidates, newStages } = choice.value;
-      logChoice(wish.spec.id, 'chain-repaired', candidates, chain);
-      return startCall(chain, ask, 0, selectImports(wish.broken, newStages, wish.failed));
+      logChoice(request.spec.id, 'chain-repaired', candidates, chain);
+      return startCall(chain, ask, 0, selectImports(request.broken, newStages, request.failed));
     },
     getBootId: (engine) => state.loads.get(engine)?.load.bootId ?? null,
     getKvCapacity: () => computeKvCapacity(state, domain),
@@ -267,7 +269,7 @@
     setDomainReach: (foreign, reachable) => {
       state = setDomainReach(state, foreign, reachable, timers.now());
     },
-    trackTokenGaps: (open) => (call, listener) => open(call, watchCall(call.chain, listener)),
+    trackTokenGaps: (open) => (call, listener) => open(call, trackCallGaps(call.chain, listener)),
     links: {
       notePaces: (paces) => {
         state = recordPaces(state, paces, timers.now());
@@ -291,7 +293,7 @@
         tokenGapMs: outcome.meanGap,
       };
     case 'failed':
-      // An engine that refuses is well: it is full, or has loaded something else since its last report.
+      // A refusal is no sign of a fault: the engine is full, or has loaded other layers since its last report.
       return outcome.cause === 'refused'
         ? { kind: 'cancelled' }
         : {
@@ -304,7 +306,7 @@
   }
 }
 
-/** Stages of the broken chain that still work and whose layers a new stage takes over. */
+/** Working stages of the broken chain whose layers are taken over, at least in part, by a new stage. */
 function selectImports(
   broken: Chain,
   newStages: readonly Stage[],
@@ -315,7 +317,10 @@
   return broken.stages.filter((stage) => !failed.includes(stage.engine) && isTakenOver(stage));
 }
 
-/** An engine's memory in tokens is what it holds in layers times tokens, over the layers it has. */
+/**
+ * Share of one instance in the domain's KV capacity. Engines state their capacity in layers times tokens, so
+ * the sum over a model's engines is divided by the number of layers of the model.
+ */
 function computeKvCapacity(state: RoutingState, domain: DomainId): number | null {
   const layersByModel = new Map<string, { layers: number; layerTokens: number }>();
   for (const [id, facts] of state.engines) {
--- a/packages/daemon/src/DaemonTimers.ts
+++ b/packages/daemon/src/DaemonTimers.ts
@@ -1,4 +1,4 @@
-/** The timer service on the process's own monotonic clock. */
+/** Timer service on the monotonic clock of the process. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 
 export function createSystemTimers(): TimerService {
--- a/packages/daemon/src/__tests__/unit/DaemonLogSink.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonLogSink.test.ts
@@ -12,8 +12,8 @@
     setTimeout(resolve, ms);
   });
 
-/** A reader that can stop reading, and takes few bytes at once. */
-function createBed(most = Infinity) {
+/** A log sink whose reader can stop, and accepts a limited number of bytes per write. */
+function createBed(maxBytesPerWrite = Infinity) {
   const text: string[] = [];
   const told: DroppedLines[] = [];
   let isReading = true;
@@ -22,7 +22,7 @@
       done(Object.assign(new Error('full'), { code: 'EAGAIN' }), 0);
       return;
     }
-    const part = bytes.subarray(0, most);
+    const part = bytes.subarray(0, maxBytesPerWrite);
     text.push(Buffer.from(part).toString());
     setTimeout(() => done(null, part.byteLength), TICK_MS);
   };
@@ -40,7 +40,7 @@
 }
 
 describe('DaemonLogSink', () => {
-  it('writes every line whole and in order, however little is taken at once', async () => {
+  it('writes all lines completely and in order when writes are partial', async () => {
     const bed = createBed(7);
     for (let i = 0; i < 5; i++) {
       bed.log.info({ i }, 'line');
@@ -56,10 +56,9 @@
     expect(bed.sink.getDropped()).to.deep.equal({ ordinary: 0, unusual: 0 });
   });
 
-  it('drops ordinary lines before unusual ones, bounds both, and says so once lines flow again', async () => {
-    // Symptom: memory grows without end, or the lines of a failure are missing while the ordinary are there.
-    // Sequence: whoever reads the lines stops for a while under load.
-    // Cause: an unbounded buffer, or one that takes whatever comes first.
+  it('drops ordinary lines before unusual ones, bounds both, and reports drops when writing resumes', async () => {
+    // If the reader stops under load, an unbounded buffer grows without limit, and a buffer that keeps
+    // whatever arrives first loses the lines of a failure while it keeps ordinary ones.
     const bed = createBed();
     bed.setReading(false);
     const filler = 'x'.repeat(1000);
@@ -80,10 +79,9 @@
     expect(bed.told[0]).to.deep.equal(bed.sink.getDropped());
   });
 
-  it('keeps a process going whose output nobody reads', async () => {
-    // Symptom: requests hang because the collector of log lines does.
-    // Sequence: a process writes more than a pipe holds; the other end reads nothing.
-    // Cause: writes that wait for the reader.
+  it('does not block the process when nobody reads its output', async () => {
+    // Requests must not hang because the log collector does: blocking writes would stop the process once
+    // it has written more than the pipe holds.
     const sinkUrl = new URL('../../DaemonLogSink.js', import.meta.url).href;
     const script = `
       import { createDescriptorWriter, createLogSink } from ${JSON.stringify(sinkUrl)};
--- a/packages/daemon/src/__tests__/unit/DaemonMetrics.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonMetrics.test.ts
@@ -2,16 +2,20 @@
 import { createDaemonMetrics } from '../../DaemonMetrics.js';
 
 describe('DaemonMetrics', () => {
-  it('shows what the instance knows before counters and the runtime’s own figures', async () => {
-    // A collector kept the first 4 kB of each scrape. These were figures of the runtime alone, so nobody could see
-    // which version of the configuration an instance had in force when it answered 404.
+  it('exposes the gauges of the instance before counters and runtime metrics', async () => {
+    // A collector that keeps only the first 4 kB of each scrape would see runtime metrics alone, and not which
+    // configuration version is in force on an instance that answers 404.
     const metrics = createDaemonMetrics();
     metrics.count('store_calls_done', 'calls');
     metrics.registerGauge('config_version', 'version', () => 31);
     const text = await metrics.write();
-    const places = ['skylarksail_config_version 31', 'skylarksail_store_calls_done', 'process_cpu'];
-    const found = places.map((place) => text.indexOf(place));
-    expect(found.every((place) => place >= 0)).to.equal(true);
-    expect(found).to.deep.equal([...found].sort((a, b) => a - b));
+    const markers = [
+      'skylarksail_config_version 31',
+      'skylarksail_store_calls_done',
+      'process_cpu',
+    ];
+    const positions = markers.map((marker) => text.indexOf(marker));
+    expect(positions.every((position) => position >= 0)).to.equal(true);
+    expect(positions).to.deep.equal([...positions].sort((a, b) => a - b));
   });
 });
--- a/packages/daemon/src/__tests__/unit/DaemonPlacement.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonPlacement.test.ts
@@ -4,7 +4,7 @@
 import { TEAM_KEY, createManifest, postJson, startHarness, waitUntil } from './DaemonHarness.js';
 
 const MESSAGES = [{ role: 'user', content: 'a letter during the change tokens=30' }];
-const RIGHT_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
+const EXPECTED_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
 
 describe('DaemonPlacement', () => {
   let harness: Harness;
@@ -24,10 +24,9 @@
     return body.choices?.[0]?.message.content ?? JSON.stringify(body);
   }
 
-  // Symptom: callers are refused, or get answers of two versions mixed, while a version is changed.
-  // Sequence: a manifest that serves v2 is accepted while callers go on calling every daemon.
-  // Cause: all engines reloaded at once, or chains made of engines that hold different versions.
-  it('changes the version under load, and every answer is whole', async () => {
+  // A manifest that serves v2 is accepted while callers use every daemon. If all engines reload at once, requests
+  // are refused; if a chain combines engines with different versions, an answer mixes both.
+  it('changes the version under load without refused requests or wrong answers', async () => {
     let isOver = false;
     const answers: string[] = [];
     const callers = harness.daemons
@@ -47,7 +46,7 @@
     );
     isOver = true;
     await Promise.all(callers);
-    expect(new Set(answers)).to.deep.equal(new Set([RIGHT_ANSWER]));
+    expect(new Set(answers)).to.deep.equal(new Set([EXPECTED_ANSWER]));
     const fencing = new Set(
       harness.engines.map(({ readLoad }) => Math.floor(readLoad().orderNumber / 2 ** 20)),
     );
--- a/packages/daemon/src/__tests__/unit/DaemonPlatformHttp.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonPlatformHttp.test.ts
@@ -9,13 +9,14 @@
 const TIMEOUT = 300;
 
 describe('DaemonPlatformHttp on a slow link', () => {
-  it('waits for a large value that goes on arriving, and gives it up when it stops', async () => {
-    // Guards against a change that never comes into force where a part of it takes longer than a call may.
+  it('waits for a large value while data arrives, and gives up once it stalls', async () => {
+    // If the call timeout covered the whole transfer, a change with a large chunk would never come into force on a
+    // slow link.
     const timers = createVirtualTimers();
     const text = JSON.stringify({ revision: 6, value: 'x'.repeat(1000) });
-    const answers: ServerResponse[] = [];
+    const responses: ServerResponse[] = [];
     const server = createServer((_req, res) => {
-      answers.push(res);
+      responses.push(res);
       res.write(text.slice(0, 500));
     });
     await new Promise<void>((resolve) => {
@@ -24,21 +25,21 @@
     const { port } = server.address() as AddressInfo;
     const platform = createPlatformHttp({ host: '127.0.0.1', port }, timers);
     const get = () => platform.get('chunk', { timeout: TIMEOUT });
-    // Once the answer has begun, its gaps and its whole time are watched.
-    const untilBegun = async (): Promise<void> => {
+    // After the response has begun, two timers run: one for gaps and one for the total time.
+    const waitUntilBegun = async (): Promise<void> => {
       while (timers.countPending() < 2) {
         await new Promise(setImmediate);
       }
     };
 
     const slow = get();
-    await untilBegun();
+    await waitUntilBegun();
     timers.advanceTo(timers.now() + 3 * TIMEOUT);
-    answers[0]?.end(text.slice(500));
+    responses[0]?.end(text.slice(500));
     expect(await slow).to.have.nested.property('value.revision', 6);
 
     const broken = get();
-    await untilBegun();
+    await waitUntilBegun();
     timers.advanceTo(timers.now() + 2 * LARGE_RESPONSE_LIMITS.gap);
     expect(await broken).to.deep.equal({ kind: 'unknown' });
     await platform.close();
