--- a/packages/daemon/src/DaemonAbortSignals.ts
+++ b/packages/daemon/src/DaemonAbortSignals.ts
@@ -1,9 +1,10 @@
-/** Limits in time for calls of the HTTP client. */
+/** Abort signals for timeouts of HTTP client calls. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
 /**
- * Aborts after `timeout`. The clock gives fractions of milliseconds and the platform's own function
- * throws on them, which showed as every call to the configuration service coming out as "unknown".
+ * Aborts after `timeout`, rounded up to whole milliseconds. The clock has fractions of
+ * milliseconds, on which `AbortSignal.timeout` throws; without the rounding, every call to the
+ * configuration service would end as "unknown".
  */
 export function createTimeoutSignal(timeout: Millis): AbortSignal {
   return AbortSignal.timeout(Math.max(1, Math.ceil(timeout)));
--- a/packages/daemon/src/DaemonAdmin.ts
+++ b/packages/daemon/src/DaemonAdmin.ts
@@ -1,4 +1,4 @@
-/** The admin port: health for the balancer, metrics, and the manifest interface for operators. */
+/** HTTP controllers of the admin port: health checks, metrics, status, and the manifest API. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { Controller, Get, Inject, Module, Param, Post, Query, Req, Res } from '@nestjs/common';
 import type { DynamicModule } from '@nestjs/common';
@@ -18,7 +18,7 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_OK = 200;
 
-/** What the admin port needs of the rest of the daemon. */
+/** Operations of the daemon that the controllers of the admin port call. */
 export interface AdminGateway {
   readonly operatorToken: string;
   isReady(): boolean;
@@ -91,8 +91,8 @@
   @Get('manifest')
   getManifest(@Req() req: FastifyRequest, @Res() reply: FastifyReply): Promise<void> {
     return this.handle(req, reply, () => {
-      const shown = this.gateway.readManifest();
-      return reply.code(shown ? STATUS_OK : STATUS_NOT_FOUND).send(shown ?? {});
+      const current = this.gateway.readManifest();
+      return reply.code(current ? STATUS_OK : STATUS_NOT_FOUND).send(current ?? {});
     });
   }
 
@@ -150,11 +150,11 @@
   private async handle(
     req: FastifyRequest,
     reply: FastifyReply,
-    act: () => unknown,
+    respond: () => unknown,
   ): Promise<void> {
     try {
       checkToken(req.headers.authorization, this.gateway.operatorToken);
-      await act();
+      await respond();
     } catch (err) {
       sendProblem(reply, mapThrownError(err), getRequestId(req));
     }
@@ -198,7 +198,10 @@
   return Number(text);
 }
 
-/** Both sides are hashed to one length, so that the time of the comparison tells nothing. */
+/**
+ * Both sides are hashed to the same length, so that the comparison takes constant time and reveals
+ * nothing about the token.
+ */
 function checkToken(header: string | undefined, token: string): void {
   const digest = (text: string): Buffer => createHash('sha256').update(text).digest();
   if (!timingSafeEqual(digest(header ?? ''), digest(`Bearer ${token}`))) {
@@ -206,7 +209,6 @@
   }
 }
 
-/** The module of the admin port. */
 @Module({})
 export class AdminModule {
   static create(gateway: AdminGateway): DynamicModule {
--- a/packages/daemon/src/DaemonAdminGateway.ts
+++ b/packages/daemon/src/DaemonAdminGateway.ts
@@ -1,4 +1,7 @@
-/** What the admin port shows, read from the parts that know it. */
+/**
+ * Implements the operations of the admin port on the components of the daemon, and registers its
+ * gauges.
+ */
 import type { PlacementStatus } from '@skylarksail/placement/PlacementRunner';
 import type { AdminGateway } from './DaemonAdmin.js';
 import type { DecisionLog } from './DaemonDecisions.js';
--- a/packages/daemon/src/DaemonAnswers.ts
+++ b/packages/daemon/src/DaemonAnswers.ts
@@ -1,18 +1,23 @@
-/** Answers in the chat-completions and completions shapes, whole and as server-sent events. */
+/**
+ * Formats answers of the chat completions and completions APIs, as one body or as server-sent
+ * events.
+ */
 import type { FinishReason } from '@skylarksail/requests/RequestPorts';
 import type { CompletionRequest } from './DaemonCallerInput.js';
 import type { ProblemBody } from './DaemonProblems.js';
 
-/** Seconds since 1970, as the shapes want it. */
+/** Seconds since the Unix epoch, as in the `created` field of an answer. */
 export type UnixSeconds = number;
 
-/** Rough count of a prompt's tokens, as nobody here has the model's tokenizer. */
+/**
+ * Estimates the number of tokens in a prompt, since the router does not have the model's tokenizer.
+ */
 export function estimatePromptTokens(prompt: string): number {
   const CHARACTERS_PER_TOKEN = 4;
   return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
 }
 
-/** Writes the events of one streamed answer. */
+/** Formats the events of one streamed answer. */
 export interface EventFormatter {
   formatStart(): string;
   formatToken(token: string): string;
@@ -20,7 +25,7 @@
   formatError(problem: ProblemBody): string;
 }
 
-/** Creates the writer; what is the same in every event is put together once. */
+/** The text that all events of the answer share is formatted only once. */
 export function createEventFormatter(
   ask: CompletionRequest,
   id: string,
@@ -29,25 +34,27 @@
   const isChat = ask.shape === 'chat';
   const object = isChat ? 'chat.completion.chunk' : 'text_completion';
   const head = JSON.stringify({ id: createAnswerId(ask, id), object, created, model: ask.model });
-  const open = `data: ${head.slice(0, -1)},"choices":[{"index":0,`;
-  const tokenOpen = isChat ? `${open}"delta":{"content":` : `${open}"text":`;
-  const tokenClose = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
-  const emptyPart = isChat ? '"delta":{}' : '"text":""';
-  const usageOf = (tokens: number): string =>
+  const choicePrefix = `data: ${head.slice(0, -1)},"choices":[{"index":0,`;
+  const tokenPrefix = isChat ? `${choicePrefix}"delta":{"content":` : `${choicePrefix}"text":`;
+  const tokenSuffix = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
+  const emptyDelta = isChat ? '"delta":{}' : '"text":""';
+  const formatUsage = (tokens: number): string =>
     ask.includeUsage
       ? `data: ${head.slice(0, -1)},"choices":[],"usage":${JSON.stringify(createUsage(ask, tokens))}}\n\n`
       : '';
   return {
     formatStart: () =>
-      isChat ? `${open}"delta":{"role":"assistant","content":""},"finish_reason":null}]}\n\n` : '',
-    formatToken: (token) => tokenOpen + JSON.stringify(token) + tokenClose,
+      isChat
+        ? `${choicePrefix}"delta":{"role":"assistant","content":""},"finish_reason":null}]}\n\n`
+        : '',
+    formatToken: (token) => tokenPrefix + JSON.stringify(token) + tokenSuffix,
     formatEnd: (reason, tokens) =>
-      `${open}${emptyPart},"finish_reason":"${reason}"}]}\n\n${usageOf(tokens)}data: [DONE]\n\n`,
+      `${choicePrefix}${emptyDelta},"finish_reason":"${reason}"}]}\n\n${formatUsage(tokens)}data: [DONE]\n\n`,
     formatError: (problem) => `event: error\ndata: ${JSON.stringify({ error: problem })}\n\n`,
   };
 }
 
-/** A whole answer in one body. */
+/** Creates the body of an answer that is not streamed. */
 export function createWholeAnswer(
   ask: CompletionRequest,
   id: string,
--- a/packages/daemon/src/DaemonApp.ts
+++ b/packages/daemon/src/DaemonApp.ts
@@ -1,4 +1,4 @@
-/** Puts the daemon together: its parts, the two HTTP servers round them, and the way to stop. */
+/** Starts the components of the daemon and its two HTTP servers, and shuts them down. */
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { AdminModule } from './DaemonAdmin.js';
@@ -18,15 +18,17 @@
 const RANDOM_RANGE = 2 ** 31;
 const MAX_MANIFEST_BYTES = 64 * 1024 * 1024;
 
-/** A running daemon. */
 export interface DaemonApp {
-  /** Stops without cutting off what runs; resolves when it has ended or the grace limit passed. */
+  /** Stops gracefully; resolves when all requests have ended or the grace period is over. */
   stop(): Promise<void>;
-  /** Ends at once; callers are told the truth about what was running. */
+  /** Stops at once; callers get an error that states whether their request ran. */
   abort(): void;
 }
 
-/** Starts a daemon. Throws SettingsError, or what the operating system says of an address. */
+/**
+ * Starts a daemon. Throws a SettingsError if a secret is empty or cannot be read, and the error of
+ * the operating system if the daemon cannot listen on an address.
+ */
 export async function startDaemon(settings: Settings): Promise<DaemonApp> {
   const peerSecret = readSecret(settings.secrets.peer, 'peer');
   const operatorToken = readSecret(settings.secrets.operator, 'operator');
--- a/packages/daemon/src/DaemonCallerGateway.ts
+++ b/packages/daemon/src/DaemonCallerGateway.ts
@@ -1,4 +1,6 @@
-/** The callers' port joined to the manifest in force and the router of requests. */
+/**
+ * Implements the operations of the callers' port with the manifest in force and the request router.
+ */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { VersionId } from '@skylarksail/core/CoreTypes';
 import { hash64Hex } from '@skylarksail/core/CoreHash';
@@ -20,9 +22,9 @@
   readonly wallNow: () => number;
   readonly manifest: DaemonManifest;
   readonly router: RequestRouter;
-  /** Version that a new request shall run. */
+  /** Chooses the model version that runs a new request. */
   readonly chooseVersion: (model: ManifestModel) => VersionId;
-  /** Whether new requests are still taken. */
+  /** Whether new requests are still accepted. */
   readonly isAccepting: () => boolean;
 }
 
@@ -43,7 +45,10 @@
     }
   }
 
-  /** A team learns nothing of what it may not use, not even that it exists. */
+  /**
+   * A model that the team may not use gives the same error as one that does not exist, so that
+   * teams cannot find out which other models there are.
+   */
   function findModel(team: ManifestTeam, id: string, adapter: string | null) {
     const model = getView().getModel(id);
     const isAllowed = model !== undefined && team.models.includes(id);
@@ -74,7 +79,7 @@
       getView()
         .models.filter(({ id }) => team.models.includes(id))
         .map(({ id, adapters }) => ({ id, adapters })),
-    submitCompletion(id, team, ask, wishes, sink) {
+    submitCompletion(id, team, ask, requestOptions, sink) {
       checkAccepting();
       const model = findModel(team, ask.model, ask.adapter);
       const { prompt } = ask;
@@ -91,16 +96,16 @@
           layerCount: model.layers,
           prompt,
           maxTokens: Math.min(ask.maxTokens, model.maxContextTokens),
-          priority: wishes.priority,
-          deadline: timers.now() + wishes.timeLeft,
-          idempotencyKey: wishes.idempotencyKey,
-          idempotent: wishes.idempotencyKey === null,
+          priority: requestOptions.priority,
+          deadline: timers.now() + requestOptions.timeLeft,
+          idempotencyKey: requestOptions.idempotencyKey,
+          idempotent: requestOptions.idempotencyKey === null,
           prefixKeys: createPrefixKeys(prompt),
         },
         sink,
       );
     },
-    submitService(id, team, ask, wishes, sink) {
+    submitService(id, team, ask, requestOptions, sink) {
       checkAccepting();
       const { service, method, path, headers, body } = ask;
       return router.submitService(
@@ -112,9 +117,9 @@
           path,
           headers,
           body,
-          priority: wishes.priority,
-          deadline: timers.now() + Math.min(wishes.timeLeft, service.timeoutMs),
-          idempotencyKey: wishes.idempotencyKey,
+          priority: requestOptions.priority,
+          deadline: timers.now() + Math.min(requestOptions.timeLeft, service.timeoutMs),
+          idempotencyKey: requestOptions.idempotencyKey,
           idempotent: isIdempotentCall(method, path, service.routes),
         },
         sink,
@@ -124,7 +129,10 @@
   };
 }
 
-/** Hashes of a prompt's beginnings, shortest first, by which prefix caches are compared. */
+/**
+ * Hashes of increasingly long prefixes of a prompt, shortest first; they are matched with prefix
+ * caches.
+ */
 function createPrefixKeys(prompt: string): readonly string[] {
   const count = Math.min(MAX_PREFIX_KEYS, Math.floor(prompt.length / PREFIX_STEP_CHARACTERS));
   return Array.from({ length: count }, (_, i) =>
--- a/packages/daemon/src/DaemonCallerInput.ts
+++ b/packages/daemon/src/DaemonCallerInput.ts
@@ -1,4 +1,7 @@
-/** What callers send, checked: bodies of completions, and the headers that steer a request. */
+/**
+ * Parses and validates the input of callers: bodies of completions, the API key and request
+ * headers.
+ */
 import { z } from 'zod';
 import { PRIORITY_ORDER, getPriorityRank } from '@skylarksail/core/CoreConstants';
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
@@ -31,7 +34,7 @@
 });
 const completionSchema = z.object({ ...commonFields, prompt: z.string().min(1) });
 
-/** A checked body, whichever of the two shapes it came in. */
+/** A validated request body of either API. */
 export interface CompletionRequest {
   readonly shape: 'chat' | 'text';
   readonly model: string;
@@ -42,23 +45,23 @@
   readonly includeUsage: boolean;
 }
 
-/** Reads a chat-completions body. Throws a ProblemError. */
+/** Parses a chat completions body. Throws a ProblemError if it is invalid. */
 export function parseChatBody(body: unknown): CompletionRequest {
   const parsed = parseBody(chatSchema, body);
   const prompt = parsed.messages
     .map(({ role, content }) => `${role}: ${joinContent(content)}`)
     .join('\n');
   const maxTokens = parsed.max_completion_tokens ?? parsed.max_tokens;
-  return createAsk('chat', parsed, prompt, maxTokens);
+  return createCompletionRequest('chat', parsed, prompt, maxTokens);
 }
 
-/** Reads a completions body. Throws a ProblemError. */
+/** Parses a completions body. Throws a ProblemError if it is invalid. */
 export function parseCompletionBody(body: unknown): CompletionRequest {
   const parsed = parseBody(completionSchema, body);
-  return createAsk('text', parsed, parsed.prompt, parsed.max_tokens);
+  return createCompletionRequest('text', parsed, parsed.prompt, parsed.max_tokens);
 }
 
-function createAsk(
+function createCompletionRequest(
   shape: CompletionRequest['shape'],
   parsed: Pick<z.output<typeof completionSchema>, 'model' | 'stream' | 'stream_options'>,
   prompt: string,
@@ -93,7 +96,7 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** The bearer key, or a ProblemError. */
+/** Returns the bearer key. Throws a ProblemError if the header is missing or malformed. */
 export function parseBearerKey(headers: Headers): string {
   const found = BEARER_PATTERN.exec(String(headers.authorization ?? ''));
   if (!found?.[1]) {
@@ -102,7 +105,7 @@
   return found[1];
 }
 
-/** How a caller wants a request to be treated. */
+/** Options of a request that a caller sets with headers. */
 export interface RequestOptions {
   readonly idempotencyKey: string | null;
   /** Time until the deadline. */
@@ -110,7 +113,10 @@
   readonly priority: PriorityName;
 }
 
-/** Reads the headers that steer a request; what the team may not ask for is lowered or refused. */
+/**
+ * Parses the headers that set options of a request. A deadline or a priority above the maximum is
+ * lowered to it. Throws a ProblemError if a header is malformed.
+ */
 export function parseRequestOptions(
   headers: Headers,
   team: ManifestTeam,
@@ -142,26 +148,28 @@
   if (value === undefined) {
     return limits.defaultDeadlineMs;
   }
-  const wished = typeof value === 'string' && /^\d{1,9}$/.test(value) ? Number(value) : 0;
-  if (wished <= 0) {
+  const requested = typeof value === 'string' && /^\d{1,9}$/.test(value) ? Number(value) : 0;
+  if (requested <= 0) {
     throw createNotRunError(
       ProblemKind.BadRequest,
       'x-deadline-ms: milliseconds, a whole number above 0',
     );
   }
-  return Math.min(wished, limits.maxDeadlineMs);
+  return Math.min(requested, limits.maxDeadlineMs);
 }
 
 function parsePriority(value: string | string[] | undefined, team: ManifestTeam): PriorityName {
   if (value === undefined) {
     return team.maxPriority;
   }
-  const wished = PRIORITY_ORDER.find((priority) => priority === value);
-  if (!wished) {
+  const requested = PRIORITY_ORDER.find((priority) => priority === value);
+  if (!requested) {
     throw createNotRunError(
       ProblemKind.BadRequest,
       `x-priority: one of ${PRIORITY_ORDER.join(', ')}`,
     );
   }
-  return getPriorityRank(wished) > getPriorityRank(team.maxPriority) ? team.maxPriority : wished;
+  return getPriorityRank(requested) > getPriorityRank(team.maxPriority)
+    ? team.maxPriority
+    : requested;
 }
--- a/packages/daemon/src/DaemonCallers.ts
+++ b/packages/daemon/src/DaemonCallers.ts
@@ -1,4 +1,4 @@
-/** The callers' port: completions, models and plain services. */
+/** HTTP controllers of the callers' port: completions, models and plain services. */
 import { All, Controller, Get, Inject, Module, Post, Req, Res } from '@nestjs/common';
 import type { DynamicModule } from '@nestjs/common';
 import type { FastifyReply, FastifyRequest } from 'fastify';
@@ -41,10 +41,10 @@
     const id = getRequestId(req);
     try {
       const team = this.gateway.authenticate(parseBearerKey(req.headers));
-      const wishes = parseRequestOptions(req.headers, team, this.gateway.getLimits());
+      const requestOptions = parseRequestOptions(req.headers, team, this.gateway.getLimits());
       const ask = parse(req.body);
-      const answer = ask.stream ? replyStreamed : replyWhole;
-      answer(this.gateway, reply, { id, team, ask, requestOptions: wishes });
+      const sendAnswer = ask.stream ? replyStreamed : replyWhole;
+      sendAnswer(this.gateway, reply, { id, team, ask, requestOptions });
     } catch (err) {
       sendProblem(reply, mapThrownError(err), id);
     }
@@ -79,7 +79,7 @@
     const id = getRequestId(req);
     try {
       const team = this.gateway.authenticate(parseBearerKey(req.headers));
-      const wishes = parseRequestOptions(req.headers, team, this.gateway.getLimits());
+      const requestOptions = parseRequestOptions(req.headers, team, this.gateway.getLimits());
       const { service, path } = splitServicePath(req.url);
       const ask = {
         service: this.gateway.getService(team, service),
@@ -88,7 +88,7 @@
         headers: selectForwardedHeaders(req.headers),
         body: toBytes(req.body),
       };
-      replyService(this.gateway, reply, { id, team, ask, requestOptions: wishes });
+      replyService(this.gateway, reply, { id, team, ask, requestOptions });
     } catch (err) {
       sendProblem(reply, mapThrownError(err), id);
     }
@@ -106,12 +106,11 @@
   return { service, path: path.startsWith('/') ? path : `/${path}` };
 }
 
-/** Services get the bytes as they came; only the completions' bodies are read as JSON. */
+/** Bodies of service calls are forwarded unparsed; only those of completions are parsed as JSON. */
 function toBytes(body: unknown): Uint8Array {
   return Buffer.isBuffer(body) ? body : new Uint8Array();
 }
 
-/** The module of the callers' port. */
 @Module({})
 export class CallersModule {
   static create(gateway: CallerGateway): DynamicModule {
--- a/packages/daemon/src/DaemonCompletionReply.ts
+++ b/packages/daemon/src/DaemonCompletionReply.ts
@@ -1,4 +1,4 @@
-/** Gives a completion to its caller: whole, or as server-sent events with back pressure. */
+/** Sends a completion to its caller, as one body or as server-sent events with backpressure. */
 import type { FastifyReply } from 'fastify';
 import type { ManifestTeam } from '@skylarksail/manifest/ManifestSchema';
 import type { RequestSink } from '@skylarksail/requests/RequestTypes';
@@ -12,7 +12,7 @@
 
 const STATUS_OK = 200;
 
-/** One completion on its way. */
+/** A completion request with its id, its team and its options. */
 export interface CompletionExchange {
   readonly id: string;
   readonly team: ManifestTeam;
@@ -20,7 +20,7 @@
   readonly requestOptions: RequestOptions;
 }
 
-/** Collects the tokens and answers once. */
+/** Buffers the tokens and sends the answer when it is complete. */
 export function replyWhole(
   gateway: CallerGateway,
   reply: FastifyReply,
@@ -28,7 +28,7 @@
 ): void {
   const { id, ask } = exchange;
   const tokens: string[] = [];
-  submit(gateway, reply, exchange, {
+  submitWithCancel(gateway, reply, exchange, {
     onStart: () => undefined,
     onToken: (_index, token) => {
       tokens.push(token);
@@ -42,8 +42,9 @@
 }
 
 /**
- * Streams the tokens. The status line waits for the start of the answer, so that whatever goes wrong
- * before it gets its own status; after it, an error event says that the answer is not complete.
+ * Streams the tokens. The status line is not sent before the answer starts, so that an earlier
+ * failure is reported with its own status; after that, an error event states that the answer is
+ * incomplete.
  */
 export function replyStreamed(
   gateway: CallerGateway,
@@ -52,7 +53,7 @@
 ): void {
   const { id, ask } = exchange;
   const { raw } = reply;
-  const writer = createEventFormatter(ask, id, gateway.getUnixSeconds());
+  const formatter = createEventFormatter(ask, id, gateway.getUnixSeconds());
   const stream = createEventStream(raw, gateway.timers);
   let hasStarted = false;
   let tokenCount = 0;
@@ -68,23 +69,23 @@
       'cache-control': 'no-cache',
       'x-request-id': id,
     });
-    stream.write(writer.formatStart);
+    stream.write(formatter.formatStart);
   }
 
-  submit(gateway, reply, exchange, {
+  submitWithCancel(gateway, reply, exchange, {
     onStart: start,
     onToken: (_index, token) => {
       start();
       tokenCount += 1;
-      stream.write(() => writer.formatToken(token));
+      stream.write(() => formatter.formatToken(token));
     },
     onEnd: (reason) => {
       start();
-      stream.end(() => writer.formatEnd(reason, tokenCount));
+      stream.end(() => formatter.formatEnd(reason, tokenCount));
     },
     onError: (problem) => {
       if (hasStarted) {
-        stream.end(() => writer.formatError(createProblemBody(createProblem(problem), id)));
+        stream.end(() => formatter.formatError(createProblemBody(createProblem(problem), id)));
       } else {
         sendProblem(reply, createProblem(problem), id);
       }
@@ -92,15 +93,15 @@
   });
 }
 
-/** Submits, and carries a hang-up of the caller to the router. */
-function submit(
+/** Submits the request and cancels it if the caller disconnects before it ends. */
+function submitWithCancel(
   gateway: CallerGateway,
   reply: FastifyReply,
-  { id, team, ask, requestOptions: wishes }: CompletionExchange,
+  { id, team, ask, requestOptions }: CompletionExchange,
   sink: RequestSink,
 ): void {
   let hasEnded = false;
-  const handle = gateway.submitCompletion(id, team, ask, wishes, {
+  const handle = gateway.submitCompletion(id, team, ask, requestOptions, {
     ...sink,
     onEnd: (reason) => {
       hasEnded = true;
--- a/packages/daemon/src/DaemonErrors.ts
+++ b/packages/daemon/src/DaemonErrors.ts
@@ -1,8 +1,8 @@
-/** Errors of the daemon; those of libraries and of other packages are turned into these. */
+/** Error classes of the daemon; errors of libraries and other packages are converted to them. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that the daemon reports by throwing. */
+/** Base class of the errors that the daemon throws. */
 export const DaemonError = SkylarkError.subclass('DaemonError');
 
-/** Settings that cannot be used; the message lists every fault with its path. */
+/** Invalid or unreadable settings; for invalid ones the message lists every fault with its path. */
 export const SettingsError = DaemonError.subclass('SettingsError');
--- a/packages/daemon/src/DaemonEventStream.ts
+++ b/packages/daemon/src/DaemonEventStream.ts
@@ -1,51 +1,55 @@
-/** Writes server-sent events no faster than the caller reads them. */
+/** Writes server-sent events with backpressure from the caller. */
 import type { ServerResponse } from 'node:http';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 
-/** A caller that reads nothing for this long is taken to be gone. */
+/** A caller that reads nothing for this long is considered disconnected. */
 const STALL_TIMEOUT: Millis = 30_000;
-/** Characters after which a write takes no further event; bounds what one stream has rendered. */
-const WRITE_CHARACTERS = 16 * 1024;
+/** A write of this size takes no further event, which bounds the rendered text per stream. */
+const MAX_WRITE_CHARACTERS = 16 * 1024;
 
 export interface EventStream {
-  /** Writes the event made by `render`, with others of this turn, or once the caller has read enough. */
+  /**
+   * Queues an event. It is written together with the other events of this turn of the event loop,
+   * or when the caller has read enough.
+   */
   write(render: () => string): void;
-  /** Ends the stream after what is still to be written. */
+  /** Ends the stream after the queued events. */
   end(render: () => string): void;
 }
 
 /**
- * A caller may read more slowly than engines generate, and its unread events would pile up in our
- * memory. What waits here is what renders the events: the tokens, which the router holds in any case
- * until the answer is complete. At most one rendered buffer a stream waits in the socket.
+ * A caller may read more slowly than engines generate, and its rendered events would then
+ * accumulate in memory. So the queue holds the functions that render the events: these refer only
+ * to the tokens, which the router keeps anyway until the answer is complete. At most one rendered
+ * buffer per stream waits in the socket.
  */
 export function createEventStream(raw: ServerResponse, timers: TimerService): EventStream {
   let waiting: (() => string)[] = [];
   let isBlocked = false;
-  let isFlushDue = false;
+  let isFlushScheduled = false;
   let renderEnd: (() => string) | null = null;
-  let cancelStall: Unregister = () => undefined;
+  let cancelStallTimeout: Unregister = () => undefined;
 
   raw.on('drain', () => {
-    cancelStall();
+    cancelStallTimeout();
     isBlocked = false;
     flush();
   });
   raw.once('close', () => {
-    cancelStall();
+    cancelStallTimeout();
     waiting = [];
   });
 
-  /** Renders some of what waits, so that one write carries the tokens of one read. */
+  /** Renders several queued events, so that one write carries all tokens that came in one read. */
   function renderNext(): string {
     let text = '';
-    let taken = 0;
-    while (taken < waiting.length && text.length < WRITE_CHARACTERS) {
-      text += (waiting[taken] as () => string)();
-      taken += 1;
+    let renderedCount = 0;
+    while (renderedCount < waiting.length && text.length < MAX_WRITE_CHARACTERS) {
+      text += (waiting[renderedCount] as () => string)();
+      renderedCount += 1;
     }
-    waiting = taken === waiting.length ? [] : waiting.slice(taken);
+    waiting = renderedCount === waiting.length ? [] : waiting.slice(renderedCount);
     return text;
   }
 
@@ -53,7 +57,7 @@
     while (!isBlocked && waiting.length > 0) {
       const text = renderNext();
       if (text !== '' && !raw.write(text)) {
-        block();
+        pauseWrites();
       }
     }
     if (!isBlocked && renderEnd) {
@@ -62,22 +66,22 @@
     }
   }
 
-  function flushLater(): void {
-    if (isFlushDue) {
+  function scheduleFlush(): void {
+    if (isFlushScheduled) {
       return;
     }
-    isFlushDue = true;
+    isFlushScheduled = true;
     queueMicrotask(() => {
-      isFlushDue = false;
+      isFlushScheduled = false;
       if (!raw.destroyed) {
         flush();
       }
     });
   }
 
-  function block(): void {
+  function pauseWrites(): void {
     isBlocked = true;
-    cancelStall = timers.registerTimeout(STALL_TIMEOUT, () => {
+    cancelStallTimeout = timers.registerTimeout(STALL_TIMEOUT, () => {
       raw.destroy();
     });
   }
@@ -89,7 +93,7 @@
       }
       waiting.push(render);
       if (!isBlocked) {
-        flushLater();
+        scheduleFlush();
       }
     },
     end(render) {
--- a/packages/daemon/src/DaemonGateway.ts
+++ b/packages/daemon/src/DaemonGateway.ts
@@ -1,4 +1,4 @@
-/** What the HTTP controllers need of the rest of the daemon. */
+/** Interface between the HTTP controllers of the callers' port and the rest of the daemon. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type {
   ManifestLimits,
@@ -14,11 +14,11 @@
 import type { RequestOptions, CompletionRequest } from './DaemonCallerInput.js';
 import type { UnixSeconds } from './DaemonAnswers.js';
 
-/** A plain-service call as a caller sends it. */
+/** A call to a plain service, as a caller sends it. */
 export interface ServiceRequest {
   readonly service: ManifestService;
   readonly method: string;
-  /** Path below the service with its query. */
+  /** Path relative to the service, with the query string. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -29,15 +29,15 @@
   onError(problem: RequestProblem): void;
 }
 
-/** A model as callers may see it. */
+/** A model in the list that callers get. */
 export interface ListedModel {
   readonly id: string;
   readonly adapters: readonly string[];
 }
 
-/** The way from the callers' port into the router. Methods throw ProblemError for what is refused. */
+/** Operations of the callers' port. A method throws a ProblemError if it rejects the request. */
 export interface CallerGateway {
-  /** The team whose bearer key this is. */
+  /** Returns the team that the bearer key belongs to. */
   authenticate(key: string): ManifestTeam;
   getLimits(): ManifestLimits;
   getService(team: ManifestTeam, id: string): ManifestService;
@@ -46,14 +46,14 @@
     id: string,
     team: ManifestTeam,
     ask: CompletionRequest,
-    wishes: RequestOptions,
+    requestOptions: RequestOptions,
     sink: RequestSink,
   ): RequestHandle;
   submitService(
     id: string,
     team: ManifestTeam,
     ask: ServiceRequest,
-    wishes: RequestOptions,
+    requestOptions: RequestOptions,
     sink: ServiceSink,
   ): RequestHandle;
   getUnixSeconds(): UnixSeconds;
--- a/packages/daemon/src/DaemonHttpServer.ts
+++ b/packages/daemon/src/DaemonHttpServer.ts
@@ -1,4 +1,6 @@
-/** Starts a Nest application on Fastify with the bounds that keep bad callers from doing harm. */
+/**
+ * Starts a Nest application on Fastify with limits that protect it from slow or malformed requests.
+ */
 import { randomUUID } from 'node:crypto';
 import type { Socket } from 'node:net';
 import { NestFactory } from '@nestjs/core';
@@ -13,7 +15,7 @@
 import { mapThrownError, sendProblem } from './DaemonReplies.js';
 
 const MAX_HEADER_COUNT = 100;
-const KEEP_ALIVE: Millis = 72_000;
+const KEEP_ALIVE_TIMEOUT: Millis = 72_000;
 const CHECKS_PER_TIMEOUT = 4;
 
 export interface HttpServerOptions {
@@ -21,17 +23,21 @@
   readonly listen: HostPort;
   readonly bodyBytes: number;
   readonly receiveTimeout: Millis;
-  /** Paths whose bodies are handed on as bytes. */
+  /** Bodies of requests with this path prefix are not parsed. */
   readonly rawBodyPrefix: string | null;
 }
 
 export interface HttpServer {
-  /** Takes no new connection, and closes each open one after the answer that it waits for. */
+  /**
+   * Accepts no new connections, and closes each open one after the response to its current request.
+   */
   stopAccepting(): void;
   close(): Promise<void>;
 }
 
-/** Whatever is thrown outside the controllers, such as a body that is no JSON, becomes a problem. */
+/**
+ * Sends a problem for errors thrown outside the controllers, such as a body that is not valid JSON.
+ */
 @Catch()
 class ProblemFilter implements ExceptionFilter {
   catch(err: unknown, host: ArgumentsHost): void {
@@ -45,10 +51,11 @@
   const adapter = new FastifyAdapter({
     bodyLimit: options.bodyBytes,
     requestTimeout: options.receiveTimeout,
-    keepAliveTimeout: KEEP_ALIVE,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
     forceCloseConnections: 'idle',
-    // Node looks for late senders every 30 s by default, and as long as the limit for headers is the
-    // higher one (60 s) it lets them stay even then: slow senders would hold their connections.
+    // By default Node checks for request timeouts only every 30 s, and while headersTimeout (60 s
+    // by default) exceeds requestTimeout it does not enforce requestTimeout at all, so slow senders
+    // would hold their connections.
     http: {
       connectionsCheckingInterval: Math.ceil(options.receiveTimeout / CHECKS_PER_TIMEOUT),
       headersTimeout: options.receiveTimeout,
@@ -56,7 +63,7 @@
     },
     genReqId: () => randomUUID(),
     logger: false,
-    clientErrorHandler: endBrokenConnection,
+    clientErrorHandler: handleClientError,
   });
   const fastify: FastifyInstance = adapter.getInstance();
   fastify.server.maxHeadersCount = MAX_HEADER_COUNT;
@@ -78,8 +85,8 @@
   };
 }
 
-/** A connection whose bytes are no request, or come too slowly, gets a problem and is closed. */
-function endBrokenConnection(err: { readonly code?: string }, socket: Socket): void {
+/** Sends a problem on a connection whose request is malformed or too slow, and closes it. */
+function handleClientError(err: { readonly code?: string }, socket: Socket): void {
   if (!socket.writable) {
     return;
   }
@@ -96,7 +103,7 @@
   socket.end(`${head.join('\r\n')}\r\n\r\n${text}`);
 }
 
-/** Bodies for plain services stay bytes; the rest is JSON, and anything else is refused. */
+/** Bodies for plain services are not parsed; all others must be JSON and are rejected otherwise. */
 function registerBodyParsers(fastify: FastifyInstance, rawBodyPrefix: string | null): void {
   fastify.removeAllContentTypeParsers();
   fastify.addContentTypeParser('*', { parseAs: 'buffer' }, (req, body, done) => {
--- a/packages/daemon/src/DaemonLog.ts
+++ b/packages/daemon/src/DaemonLog.ts
@@ -1,4 +1,7 @@
-/** Structured logs, one JSON line each; secrets are never part of what is passed in. */
+/**
+ * Structured logging, one JSON object per line. Callers must not pass secrets to the logger; the
+ * redacted paths are only a second safeguard.
+ */
 import { pino } from 'pino';
 import type { Logger } from 'pino';
 import type { Settings } from './DaemonSettings.js';
--- a/packages/daemon/src/DaemonMain.ts
+++ b/packages/daemon/src/DaemonMain.ts
@@ -1,4 +1,6 @@
-/** `skylarksaild`: reads the command line and the settings, and runs until it is told to stop. */
+/**
+ * Entry point of `skylarksaild`: reads the command line and settings, starts and stops the daemon.
+ */
 import { Command } from 'commander';
 import { startDaemon } from './DaemonApp.js';
 import { SettingsError } from './DaemonErrors.js';
@@ -7,7 +9,7 @@
 const EXIT_SETTINGS = 2;
 const EXIT_FAILED = 1;
 
-/** Runs the process. */
+/** Runs the daemon; the first SIGTERM or SIGINT stops it gracefully, the second one at once. */
 export async function runDaemon(argv: readonly string[]): Promise<void> {
   const program = new Command('skylarksaild')
     .description('Routes requests to engines that each hold a range of a model’s layers.')
@@ -31,7 +33,7 @@
     await runUntilStopped(settings);
   } catch (err) {
     process.stderr.write(`skylarksaild: ${(err as Error).message}\n`);
-    // Parts that started before the failing one hold the process open; nothing of theirs is wanted.
+    // Components that started before the failure would keep the process alive.
     process.exit(err instanceof SettingsError ? EXIT_SETTINGS : EXIT_FAILED);
   }
 }
--- a/packages/daemon/src/DaemonParts.ts
+++ b/packages/daemon/src/DaemonParts.ts
@@ -1,4 +1,4 @@
-/** The parts of a daemon behind its HTTP ports, joined to each other. */
+/** Creates and connects the components of the daemon that its HTTP ports use. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
@@ -44,7 +44,10 @@
   readonly claims: DaemonClaims;
   readonly router: RequestRouter;
   readonly placement: DaemonPlacement;
-  /** Duties go to others; running work and the callers' port go on. */
+  /**
+   * Hands the duties over to other instances; running requests and the callers' port are
+   * unaffected.
+   */
   startLeaving(): void;
   stop(): Promise<void>;
 }
@@ -158,16 +161,16 @@
   });
 
   await fleet.refreshList();
-  const undo: Unregister[] = [
+  const unregisterAll: Unregister[] = [
     fleet.start(),
     directory.start(),
     startDaemonPoison({ self: self.id, fleet, router, timers, random }),
-    fleet.membership.registerListener(tellRouting),
+    fleet.membership.registerListener(updateRouting),
     routing.start(),
   ];
 
-  /** Tells routing how many instances share the engines, and which domains can be reached. */
-  function tellRouting(change: MembershipChange): void {
+  /** Passes to routing how many instances share the engines, and which domains are reachable. */
+  function updateRouting(change: MembershipChange): void {
     const own = fleet.listOwnDomain().length;
     routing.setInstanceCounts(own, fleet.listLive().length - own);
     if (change.kind === 'domain') {
@@ -195,7 +198,7 @@
   async function stop(): Promise<void> {
     placement.stop();
     drains.stop();
-    undo.forEach((stopPart) => stopPart());
+    unregisterAll.forEach((unregister) => unregister());
     router.stop();
     manifest.stop();
     claims.owner.stop();
--- a/packages/daemon/src/DaemonProblemMap.ts
+++ b/packages/daemon/src/DaemonProblemMap.ts
@@ -1,11 +1,11 @@
-/** Turns what the router of requests reports into problems as callers see them. */
+/** Maps the problems that the request router reports to the problems that callers get. */
 import { RunState } from '@skylarksail/core/CoreConstants';
 import type { RequestProblem } from '@skylarksail/requests/RequestTypes';
 import { ProblemKind as RequestProblemKind } from '@skylarksail/requests/RequestTypes';
 import type { Problem, ProblemKindName } from './DaemonProblems.js';
 import { ProblemKind } from './DaemonProblems.js';
 
-const KIND_OF: Readonly<Record<RequestProblem['kind'], ProblemKindName>> = {
+const KIND_BY_REQUEST_PROBLEM: Readonly<Record<RequestProblem['kind'], ProblemKindName>> = {
   [RequestProblemKind.Overloaded]: ProblemKind.Overloaded,
   [RequestProblemKind.Deadline]: ProblemKind.DeadlineExceeded,
   [RequestProblemKind.NoChain]: ProblemKind.NoCapacity,
@@ -24,7 +24,7 @@
 export function createProblem({ kind, run, retryAfter }: RequestProblem): Problem {
   const isRefusedEarly = kind === RequestProblemKind.Deadline && run === RunState.NotRun;
   return {
-    kind: isRefusedEarly ? ProblemKind.DeadlineTooShort : KIND_OF[kind],
+    kind: isRefusedEarly ? ProblemKind.DeadlineTooShort : KIND_BY_REQUEST_PROBLEM[kind],
     run,
     retryAfter,
   };
--- a/packages/daemon/src/DaemonProblems.ts
+++ b/packages/daemon/src/DaemonProblems.ts
@@ -1,11 +1,14 @@
-/** Errors as callers see them: problem+json with a stable type and whether the request ran. */
+/** Errors sent to callers: problem+json with a stable type, and whether the request ran. */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import { RunState } from '@skylarksail/core/CoreConstants';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
 const TYPE_PREFIX = 'urn:skylarksail:problem:';
 
-/** Stable kinds of problem; docs/API.md lists them. */
+/**
+ * Kinds of problems, as in the `type` field. They must not change, since callers rely on them;
+ * docs/API.md lists them.
+ */
 export const ProblemKind = {
   BadRequest: 'bad-request',
   Unauthorized: 'unauthorized',
@@ -54,7 +57,7 @@
   internal: [500, 'The router failed'],
 };
 
-/** A problem on its way to a caller. */
+/** A problem that is reported to a caller. */
 export interface Problem {
   readonly kind: ProblemKindName;
   readonly run: RunStateName;
@@ -62,7 +65,7 @@
   readonly retryAfter?: Millis | null;
 }
 
-/** A problem as it is written: RFC 9457 fields, then ours. */
+/** A problem as sent: the fields of RFC 9457, then the extension members. */
 export interface ProblemBody {
   readonly type: string;
   readonly title: string;
@@ -88,7 +91,7 @@
   };
 }
 
-/** Thrown by whatever handles a request before anything of it ran. */
+/** Thrown while a request is handled, before any part of it ran. */
 export class ProblemError extends Error {
   constructor(readonly problem: Problem) {
     super(problem.kind);
@@ -96,7 +99,7 @@
   }
 }
 
-/** A problem found before anything was sent to a backend server. */
+/** Creates the error for a request that fails before anything was sent to a backend server. */
 export function createNotRunError(
   kind: ProblemKindName,
   detail?: string,
--- a/packages/daemon/src/DaemonReplies.ts
+++ b/packages/daemon/src/DaemonReplies.ts
@@ -1,4 +1,4 @@
-/** Writes problems to callers, whatever the place they come from. */
+/** Converts errors of any origin to problems and sends them to callers. */
 import { HttpException } from '@nestjs/common';
 import type { FastifyReply, FastifyRequest } from 'fastify';
 import { RunState } from '@skylarksail/core/CoreConstants';
@@ -12,7 +12,7 @@
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Answers with a problem, unless an answer has begun or the caller is gone. */
+/** Sends a problem, unless an answer has started or the caller has disconnected. */
 export function sendProblem(reply: FastifyReply, problem: Problem, requestId: string): void {
   if (reply.sent || reply.raw.headersSent || reply.raw.destroyed) {
     return;
@@ -29,7 +29,7 @@
     .send(JSON.stringify(body));
 }
 
-/** What Fastify itself found wrong with a request, told as a problem; null if it is not Fastify's. */
+/** The problem for an error that Fastify or Nest raised for a request; null for any other error. */
 export function mapFastifyError(err: unknown): Problem | null {
   const { code, statusCode: ownStatus } = (err ?? {}) as { code?: unknown; statusCode?: unknown };
   const statusCode = err instanceof HttpException ? err.getStatus() : ownStatus;
@@ -47,8 +47,8 @@
 }
 
 /**
- * The problem for anything thrown while a request is handled. What is not expected is a fault of ours:
- * its text stays in the log, since it could show one team what belongs to another.
+ * The problem for any error thrown while a request is handled. An unexpected error is reported as
+ * internal and without its message, which could expose data of one team to another.
  */
 export function mapThrownError(err: unknown): Problem {
   if (err instanceof ProblemError) {
@@ -57,7 +57,7 @@
   return mapFastifyError(err) ?? { kind: ProblemKind.Internal, run: RunState.Unknown };
 }
 
-/** Id of a request, the same in logs, answers and calls to backend servers. */
+/** Returns the id that identifies the request in logs, answers and calls to backend servers. */
 export function getRequestId(req: FastifyRequest): string {
   return req.id;
 }
--- a/packages/daemon/src/DaemonServiceHttp.ts
+++ b/packages/daemon/src/DaemonServiceHttp.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services over HTTP: the adapter behind OpenServiceCall. */
+/** Implements OpenServiceCall: calls plain services over HTTP. */
 import { Agent } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { OpenServiceCall, ServiceCall } from '@skylarksail/requests/RequestPorts';
@@ -8,8 +8,8 @@
 const CONNECTIONS_PER_SERVER = 256;
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-/** Headers that belong to one connection and are not passed on. */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Headers of a single connection and the caller's credentials; they are not forwarded. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -24,20 +24,19 @@
   'expect',
 ]);
 
-/** Headers that may be passed on, in either direction. */
+/** Selects the headers to forward, for requests as well as answers; names become lower case. */
 export function selectForwardedHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   return Object.fromEntries(
     Object.entries(headers).flatMap(([name, value]) =>
-      value === undefined || HOP_HEADERS.has(name.toLowerCase())
+      value === undefined || UNFORWARDED_HEADERS.has(name.toLowerCase())
         ? []
         : [[name.toLowerCase(), Array.isArray(value) ? value.join(', ') : value]],
     ),
   );
 }
 
-/** Creates the adapter; `close` ends its connections. */
 export function createServiceHttp(findAddress: FindEngineAddress): {
   readonly open: OpenServiceCall;
   readonly close: () => Promise<void>;
@@ -47,7 +46,9 @@
   async function send(call: ServiceCall, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
     const address = findAddress(call.server);
     if (!address) {
-      throw Object.assign(new Error('address not known'), { code: 'EHOSTUNREACH' });
+      throw Object.assign(new Error('the address of the backend server is unknown'), {
+        code: 'EHOSTUNREACH',
+      });
     }
     return agent.request({
       origin: `http://${address.host}:${address.port}`,
@@ -68,17 +69,17 @@
   const open: OpenServiceCall = (call, listener) => {
     const controller = new AbortController();
     let ended = false;
-    const end = (tell: () => void): void => {
+    const endOnce = (notify: () => void): void => {
       if (!ended) {
         ended = true;
-        tell();
+        notify();
       }
     };
     send(call, controller.signal)
       .then(async (res) => {
         const body = await readBounded(res);
         const headers = selectForwardedHeaders(res.headers);
-        end(() => listener.onAnswer({ status: res.statusCode, headers, body }));
+        endOnce(() => listener.onAnswer({ status: res.statusCode, headers, body }));
       })
       .catch((err: unknown) => {
         const failure = {
@@ -87,7 +88,7 @@
           retryAfter: null,
           ...classifySocketError(err),
         };
-        end(() => listener.onFailure(failure));
+        endOnce(() => listener.onFailure(failure));
       });
     return () => {
       ended = true;
@@ -98,14 +99,14 @@
   return { open, close: () => agent.destroy() };
 }
 
-/** A service that never stops sending would fill the memory of the instance; it is cut off instead. */
+/** Reads a body up to a size limit, since an endless answer would exhaust the instance's memory. */
 async function readBounded(res: Dispatcher.ResponseData): Promise<Uint8Array> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of res.body as AsyncIterable<Buffer>) {
     bytes += chunk.byteLength;
     if (bytes > MAX_ANSWER_BYTES) {
-      throw new Error('answer too large');
+      throw new Error('the answer exceeds the size limit');
     }
     chunks.push(chunk);
   }
--- a/packages/daemon/src/DaemonServiceReply.ts
+++ b/packages/daemon/src/DaemonServiceReply.ts
@@ -1,4 +1,4 @@
-/** Gives a plain service's answer to its caller. */
+/** Sends a plain service's answer to the caller; cancels the call if the caller disconnects. */
 import type { FastifyReply } from 'fastify';
 import type { ManifestTeam } from '@skylarksail/manifest/ManifestSchema';
 import type { RequestOptions } from './DaemonCallerInput.js';
@@ -6,7 +6,7 @@
 import { createProblem } from './DaemonProblemMap.js';
 import { sendProblem } from './DaemonReplies.js';
 
-/** One service call on its way. */
+/** A service call with its id, its team and its options. */
 export interface ServiceExchange {
   readonly id: string;
   readonly team: ManifestTeam;
@@ -17,10 +17,10 @@
 export function replyService(
   gateway: CallerGateway,
   reply: FastifyReply,
-  { id, team, ask, requestOptions: wishes }: ServiceExchange,
+  { id, team, ask, requestOptions }: ServiceExchange,
 ): void {
   let hasEnded = false;
-  const handle = gateway.submitService(id, team, ask, wishes, {
+  const handle = gateway.submitService(id, team, ask, requestOptions, {
     onAnswer: ({ status, headers, body }) => {
       hasEnded = true;
       void reply
--- a/packages/daemon/src/DaemonSettings.ts
+++ b/packages/daemon/src/DaemonSettings.ts
@@ -1,4 +1,6 @@
-/** The daemon's settings: one JSON file, checked as a whole before anything starts. */
+/**
+ * Settings of the daemon: one JSON file that is validated completely before any component starts.
+ */
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
 import { z } from 'zod';
@@ -6,14 +8,14 @@
 
 const MAX_PORT = 65535;
 
-const ipNumber = z.string().refine((text) => isIP(text) !== 0, 'an IP number, not a host name');
+const ipAddress = z.string().refine((text) => isIP(text) !== 0, 'an IP number, not a host name');
 
 const addressSchema = z.strictObject({
-  host: ipNumber,
+  host: ipAddress,
   port: z.int().min(1).max(MAX_PORT),
 });
 
-/** A secret is named, never written down here: a file or an environment variable holds it. */
+/** Settings contain no secrets, only the file or the environment variable that holds one. */
 const secretSchema = z.union([
   z.strictObject({ file: z.string().min(1) }),
   z.strictObject({ env: z.string().min(1) }),
@@ -29,9 +31,9 @@
     peers: addressSchema,
     platform: addressSchema,
     secrets: z.strictObject({
-      /** Shared by all instances; proves a peer. */
+      /** Shared by all instances; authenticates peers to each other. */
       peer: secretSchema,
-      /** Bearer token of the operators' pipeline on the admin port. */
+      /** Bearer token of operators and their deployment pipeline on the admin port. */
       operator: secretSchema,
     }),
     limits: z
@@ -41,21 +43,24 @@
           .min(1024)
           .max(64 * 1024 * 1024)
           .default(1024 * 1024),
-        /** Slow senders are cut off after this. */
+        /** A request that has not arrived completely within this time is rejected. */
         receiveTimeoutMs: z.int().min(100).default(10000),
       })
       .prefault({}),
-    /** What the weight store gives to all domains together; the same on every instance. */
+    /** Total read bandwidth of the weight store for all domains; the same on every instance. */
     weightStore: z
       .strictObject({
         bytesPerSecond: z.number().positive().default(4e9),
-        /** Unused bytes are saved up for this long; half of it is kept for restoring capacity. */
+        /**
+         * Size of the token bucket, as the time in which it fills; half of it is reserved for
+         * restoring capacity.
+         */
         burstMs: z.int().positive().default(60000),
       })
       .prefault({}),
     shutdown: z
       .strictObject({
-        /** How long the balancer may go on sending after readiness is withdrawn. */
+        /** For this long the load balancer may still send requests to an instance that is not ready. */
         balancerLagMs: z.int().min(0).default(3000),
         graceMs: z.int().positive().default(60000),
       })
@@ -93,7 +98,7 @@
 export type Settings = z.output<typeof settingsSchema>;
 type Secret = z.output<typeof secretSchema>;
 
-/** Checks settings; all faults are told together, each with its path. Throws SettingsError. */
+/** Parses and validates settings. Throws a SettingsError that lists all faults with their paths. */
 export function parseSettings(text: string): Settings {
   let input: unknown;
   try {
@@ -111,7 +116,7 @@
   return parsed.data;
 }
 
-/** Reads and checks a settings file. Throws SettingsError. */
+/** Reads and validates a settings file. Throws a SettingsError. */
 export function readSettings(path: string): Settings {
   let text: string;
   try {
@@ -122,7 +127,9 @@
   return parseSettings(text);
 }
 
-/** Reads a secret from where the settings say. Throws SettingsError; the secret is never logged. */
+/**
+ * Reads a secret from its file or environment variable; it is never logged. Throws a SettingsError.
+ */
 export function readSecret(secret: Secret, name: string): string {
   const text =
     'env' in secret ? (process.env[secret.env] ?? '') : readSecretFile(secret.file, name);
@@ -141,7 +148,7 @@
   }
 }
 
-/** Settings to start from, with every default shown. */
+/** Example settings with all default values, as a template for a settings file. */
 export function createDefaultSettings(): Settings {
   return settingsSchema.parse({
     instance: 'entry-1',
--- a/packages/daemon/src/__tests__/unit/DaemonBadInput.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonBadInput.test.ts
@@ -6,7 +6,9 @@
 import { TEAM_KEY, formatUrl, postJson, startHarness, waitUntil } from './DaemonHarness.js';
 
 const CHAT = { model: 'letters', messages: [{ role: 'user', content: 'note tokens=4' }] };
-/** What the manifest allows: a slow machine needs more than the default for 20,000 tokens, and says so. */
+/**
+ * Maximum in the manifest: on a slow machine 20,000 tokens take longer than the default deadline.
+ */
 const LONGEST_DEADLINE = '600000';
 const AUTH = { authorization: `Bearer ${TEAM_KEY}` };
 
@@ -34,22 +36,22 @@
 }
 
 const BAD_INPUTS: readonly BadInput[] = [
-  { what: 'no JSON', send: (c) => postRaw(c, '{"model":'), status: 400, type: 'bad-request' },
+  { what: 'invalid JSON', send: (c) => postRaw(c, '{"model":'), status: 400, type: 'bad-request' },
   { what: 'no body', send: (c) => postRaw(c, ''), status: 400, type: 'bad-request' },
   {
-    what: 'JSON of another shape',
+    what: 'JSON that is not an object',
     send: (c) => postRaw(c, '[1]'),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'no messages',
+    what: 'an empty list of messages',
     send: (c) => postRaw(c, '{"model":"letters","messages":[]}'),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'more than one answer',
+    what: 'a request for more than one answer',
     send: (c) => postRaw(c, JSON.stringify({ ...CHAT, n: 3 })),
     status: 400,
     type: 'bad-request',
@@ -61,67 +63,67 @@
     type: 'bad-request',
   },
   {
-    what: 'too large',
+    what: 'a body above the size limit',
     send: (c) => postRaw(c, 'x'.repeat(30_000)),
     status: 413,
     type: 'too-large',
   },
   {
-    what: 'unknown model',
+    what: 'an unknown model',
     send: (c) => postRaw(c, JSON.stringify({ ...CHAT, model: 'nope' })),
     status: 404,
     type: 'not-found',
   },
   {
-    what: 'unknown adapter',
+    what: 'an unknown adapter',
     send: (c) => postRaw(c, JSON.stringify({ ...CHAT, model: 'letters:nope' })),
     status: 404,
     type: 'not-found',
   },
   {
-    what: 'wrong key',
+    what: 'a wrong API key',
     send: postWith({ authorization: 'Bearer nope' }),
     status: 401,
     type: 'unauthorized',
   },
   {
-    what: 'another scheme',
+    what: 'another authentication scheme',
     send: postWith({ authorization: 'Basic abc' }),
     status: 401,
     type: 'unauthorized',
   },
   {
-    what: 'a deadline that is no number',
+    what: 'a deadline that is not a number',
     send: postWith({ 'x-deadline-ms': 'soon' }),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'a priority that does not exist',
+    what: 'an unknown priority',
     send: postWith({ 'x-priority': 'royal' }),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'a key with blanks',
+    what: 'an idempotency key with spaces',
     send: postWith({ 'idempotency-key': 'a b' }),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'a key too long',
+    what: 'an idempotency key that is too long',
     send: postWith({ 'idempotency-key': 'k'.repeat(300) }),
     status: 400,
     type: 'bad-request',
   },
   {
-    what: 'a path that does not exist',
+    what: 'an unknown path',
     send: (c) => fetch(`${c}/v1/nope`, { headers: AUTH }),
     status: 404,
     type: 'not-found',
   },
   {
-    what: 'a service that does not exist',
+    what: 'an unknown service',
     send: (c) => fetch(`${c}/services/nope/x`, { headers: AUTH }),
     status: 404,
     type: 'not-found',
@@ -137,7 +139,7 @@
     callers = harness.daemons[0]?.callers ?? '';
   });
   after(() => harness.stop());
-  // Whatever came before, the daemon must still serve.
+  // The daemon must still serve requests after each test.
   afterEach(async () => {
     const res = await postRaw(callers, JSON.stringify(CHAT));
     expect(res.status).to.equal(200);
@@ -145,7 +147,7 @@
   });
 
   BAD_INPUTS.forEach(({ what, send, status, type }) => {
-    it(`answers ${what} with a problem that says that nothing ran`, async () => {
+    it(`answers ${what} with a problem that states that nothing ran`, async () => {
       const res = await send(callers);
       const body = (await res.json()) as Record<string, unknown>;
       expect(res.headers.get('content-type')).to.contain('application/problem+json');
@@ -157,10 +159,10 @@
     });
   });
 
-  // Symptom: slow senders hold their connections for ever, and a planned stop waits for them.
-  // Sequence: a request announces a body and sends one byte of it.
-  // Cause: the HTTP server's limit for headers was above the one for requests, which switches it off.
-  it('cuts off a sender that never ends its request', async () => {
+  // Guards against slow senders that hold their connections forever, so that a graceful stop waits
+  // for them. Here a request announces a body and sends one byte of it. Node does not enforce
+  // requestTimeout while headersTimeout is greater.
+  it('closes the connection of a sender that never completes its request', async () => {
     const { hostname, port } = new URL(callers);
     const socket = connect(Number(port), hostname);
     socket.on('error', () => undefined);
@@ -174,7 +176,7 @@
     expect(answer).to.contain('urn:skylarksail:problem:slow-sender');
   });
 
-  it('answers bytes that are no HTTP and goes on', async () => {
+  it('closes a connection that sends bytes that are not HTTP, and continues to serve', async () => {
     const { hostname, port } = new URL(callers);
     const socket = connect(Number(port), hostname);
     socket.on('error', () => undefined);
@@ -183,10 +185,10 @@
     await once(socket, 'close');
   });
 
-  // Symptom: engines go on generating for callers that have gone.
-  // Sequence: a caller hangs up in the middle of a stream.
-  // Cause: the hang-up is not carried on. Here the engine's count of running requests must fall to 0.
-  it('carries a hang-up in the middle of an answer to the engines', async () => {
+  // Guards against engines that continue to generate for callers that have disconnected: the
+  // disconnect in the middle of a stream must be passed on, so that the engines' running requests
+  // drop to 0.
+  it('cancels the request on its engines when the caller disconnects mid-stream', async () => {
     const controller = new AbortController();
     const res = await fetch(`${callers}/v1/chat/completions`, {
       method: 'POST',
@@ -206,11 +208,10 @@
     await waitUntil(() => countRunning() === 0);
   });
 
-  // Symptom: a caller gets an answer with a hole, or the process dies of a parse error.
-  // Sequence: an engine sends a line that is no frame, doubles frames, or sends them out of order.
-  // Cause: whatever garbles a stream. The answer must come out whole all the same.
+  // Guards against answers with missing tokens and against a crash by a parse error, when an engine
+  // sends a line that is not a frame, duplicate frames, or frames out of order.
   ['garbage', 'duplicate-frames', 'reorder-frames'].forEach((kind) => {
-    it(`gives the whole answer through an engine's ${kind}`, async () => {
+    it(`returns the complete answer despite ${kind} from an engine`, async () => {
       await Promise.all(
         harness.engines.map(({ server }) =>
           harness.setFault(server.address, { kind, count: 1, ms: 2000 }),
@@ -226,7 +227,7 @@
     });
   });
 
-  it('says "unknown" when a call that may not be repeated loses its answer', async () => {
+  it('reports run state "unknown" when the answer to a non-idempotent call is lost', async () => {
     await harness.setFault(harness.service.server.address, { kind: 'drop-answer', count: 1 });
     const before = harness.service.ledger.read().entries.length;
     const res = await postJson(`${callers}/services/accounts/receipts`, {}, AUTH);
@@ -235,20 +236,20 @@
     expect(harness.service.ledger.read().entries.length).to.equal(before + 1);
   });
 
-  it('repeats an idempotent call that lost its answer', async () => {
+  it('retries an idempotent call when its answer is lost', async () => {
     await harness.setFault(harness.service.server.address, { kind: 'drop-answer', count: 1 });
     const res = await fetch(`${callers}/services/accounts/balance`, { headers: AUTH });
     expect(res.status).to.equal(200);
   });
 
-  it('takes no peer without the secret, and drops garbage of one that has it', async () => {
+  it('rejects a peer without the secret', async () => {
     const { peers } = harness.daemons[0] ?? { peers: { host: '', port: 0 } };
     const stranger = new WebSocket(formatUrl(peers).replace('http', 'ws'));
     const [err] = (await once(stranger, 'error')) as [Error];
     expect(err.message).to.contain('401');
   });
 
-  it('keeps the operators’ port from whoever has no token', async () => {
+  it('serves the admin API only with the operator token, and not on the callers’ port', async () => {
     const { admin } = harness.daemons[0] ?? { admin: '' };
     const res = await fetch(`${admin}/v1/status`, { headers: AUTH });
     expect(res.status).to.equal(401);
--- a/packages/daemon/src/__tests__/unit/DaemonCallers.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonCallers.test.ts
@@ -5,7 +5,7 @@
 import { OTHER_TEAM_KEY, TEAM_KEY, postJson, startHarness } from './DaemonHarness.js';
 
 const MESSAGES = [{ role: 'user' as const, content: 'Write the monthly letter, tokens=12' }];
-const RIGHT_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
+const EXPECTED_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
 
 describe('DaemonCallers', () => {
   let harness: Harness;
@@ -19,12 +19,12 @@
   });
   after(() => harness.stop());
 
-  it('serves a published client library: models, whole and streamed answers, with an adapter', async () => {
+  it('serves the OpenAI client library: models, whole and streamed answers, and adapters', async () => {
     const models = await client.models.list();
     expect(models.data.map(({ id }) => id)).to.deep.equal(['letters', 'letters:monthly']);
 
     const whole = await client.chat.completions.create({ model: 'letters', messages: MESSAGES });
-    expect(whole.choices[0]?.message.content).to.equal(RIGHT_ANSWER);
+    expect(whole.choices[0]?.message.content).to.equal(EXPECTED_ANSWER);
     expect(whole.choices[0]?.finish_reason).to.equal('stop');
     expect(whole.usage?.completion_tokens).to.equal(12);
 
@@ -50,7 +50,7 @@
     expect(legacy.choices[0]?.text).to.equal(computeAnswer('note tokens=3', 256).text);
   });
 
-  it('gives the client library an error that it understands', async () => {
+  it('returns errors that the client library recognizes', async () => {
     const asked = client.chat.completions.create({ model: 'nothing', messages: MESSAGES });
     const err = await asked.then(
       () => null,
@@ -59,7 +59,7 @@
     expect(err).to.be.instanceOf(OpenAI.NotFoundError);
   });
 
-  it('tells a team nothing of what belongs to others', async () => {
+  it('answers alike for a model that the team may not use and one that does not exist', async () => {
     const ask = { messages: MESSAGES, stream: false };
     const hidden = await postChat({ ...ask, model: 'hidden' });
     const absent = await postChat({ ...ask, model: 'absent' });
@@ -67,7 +67,7 @@
     expect(hidden.status).to.equal(404);
   });
 
-  it('carries out a keyed call once and gives its answer again, to its own team only', async () => {
+  it('runs a call once per idempotency key and team, and repeats its answer', async () => {
     const post = (key: string, body: unknown): Promise<Response> =>
       postJson(`${callers}/services/accounts/receipts`, body, {
         authorization: `Bearer ${key}`,
@@ -89,10 +89,9 @@
     expect(receipts).to.have.length(2);
   });
 
-  // Symptom: a caller that asks for a letter with an adapter gets the one made without it.
-  // Sequence: the same idempotency key is sent again with another adapter.
-  // Cause: a fingerprint of the prompt alone.
-  it('takes another adapter under the same key for another request', async () => {
+  // Guards against a request fingerprint of the prompt alone: a request with an adapter that reuses
+  // the idempotency key of one without it would get the answer made without the adapter.
+  it('treats another adapter under the same idempotency key as another request', async () => {
     const post = (model: string): Promise<Response> =>
       postJson(
         `${callers}/v1/chat/completions`,
--- a/packages/daemon/src/__tests__/unit/DaemonEventStream.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonEventStream.test.ts
@@ -4,7 +4,7 @@
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
 import { createEventStream } from '../../DaemonEventStream.js';
 
-/** A response that takes `room` characters and then waits to be read. */
+/** A response that accepts `room` characters until it is read. */
 class FakeResponse extends EventEmitter {
   readonly writes: string[] = [];
 
@@ -31,7 +31,7 @@
     this.emit('close');
   }
 
-  /** The caller reads all that was written, and leaves `room` for more. */
+  /** The caller reads everything that was written; then there is `room` for more. */
   read(room: number): void {
     this.room = room;
     this.emit('drain');
@@ -39,9 +39,9 @@
 }
 
 const LARGE_EVENT = 'x'.repeat(1000);
-const EVENTS = 200;
-/** One write's bound and the event that crosses it. */
-const MOST_RENDERED = 16 * 1024 + LARGE_EVENT.length;
+const EVENT_COUNT = 200;
+/** Size limit of one write, and the event that exceeds it. */
+const MAX_RENDERED = 16 * 1024 + LARGE_EVENT.length;
 
 function setUp(room: number) {
   const res = new FakeResponse(room);
@@ -61,7 +61,7 @@
 }
 
 describe('DaemonEventStream', () => {
-  it('writes the events of one turn at once and in order, the last one with the end', async () => {
+  it('writes the events of one turn together, and flushes queued events before the end', async () => {
     const { res, stream } = setUp(Infinity);
     ['a', 'b', ''].forEach((text) => stream.write(() => text));
     expect(res.writes).to.deep.equal([]);
@@ -73,30 +73,30 @@
     expect(res.ended).to.equal('end');
   });
 
-  it('renders no more for a caller that does not read, and all of it once it does', async () => {
-    // Symptom: the memory of an instance grows with the answers of callers that read slowly.
-    // Sequence: a caller stops reading while its engine goes on; the response takes no more.
-    // Cause: rendered events, many times the size of their tokens, pile up in the response.
+  it('stops rendering while the caller does not read, and renders the rest when it does', async () => {
+    // Guards against memory that grows with the answers of slow callers: a caller stops reading
+    // while its engine continues, and rendered events, many times the size of their tokens,
+    // accumulate in the response.
     const { res, stream, writeLarge, countRendered } = setUp(1);
-    for (let i = 0; i < EVENTS; i++) {
+    for (let i = 0; i < EVENT_COUNT; i++) {
       writeLarge();
       await settle();
     }
     stream.end(() => 'end');
-    expect(countRendered()).to.be.at.most(MOST_RENDERED);
+    expect(countRendered()).to.be.at.most(MAX_RENDERED);
     expect(res.ended).to.equal(null);
     const before = countRendered();
     res.read(1);
-    expect(countRendered() - before).to.be.within(1, MOST_RENDERED);
+    expect(countRendered() - before).to.be.within(1, MAX_RENDERED);
     res.read(Infinity);
-    expect(res.writes.join('')).to.equal(LARGE_EVENT.repeat(EVENTS));
+    expect(res.writes.join('')).to.equal(LARGE_EVENT.repeat(EVENT_COUNT));
     expect(res.ended).to.equal('end');
   });
 
-  it('cuts off a caller that reads nothing for 30 s, and no caller that reads slowly', async () => {
-    // Symptom: answers of callers that are gone without a word stay in memory for ever.
-    // Sequence: a caller's host vanishes; no packet tells us; the response never drains.
-    // Cause: without a limit on the time between two reads, nothing ends the stream.
+  it('disconnects a caller that reads nothing for 30 s, but not one that reads slowly', async () => {
+    // Guards against answers that stay in memory forever: if the caller's host disappears without
+    // closing the connection, the response never drains, and only a limit on the time between two
+    // reads ends the stream.
     const { res, timers, writeLarge } = setUp(1);
     for (let i = 0; i < 5; i++) {
       writeLarge();
@@ -112,7 +112,7 @@
     expect(timers.countPending()).to.equal(0);
   });
 
-  it('leaves no timer and writes nothing after the caller has gone', async () => {
+  it('clears its timer and writes nothing after the caller has disconnected', async () => {
     const { res, timers, stream, writeLarge } = setUp(1);
     writeLarge();
     await settle();
--- a/packages/daemon/src/__tests__/unit/DaemonHarness.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonHarness.ts
@@ -1,4 +1,6 @@
-/** Daemons and stand-ins in one process, over real sockets on loopback, for the tests beside it. */
+/**
+ * Test harness: runs daemons and stand-ins in one process and connects them over loopback sockets.
+ */
 import { createHash } from 'node:crypto';
 import { once } from 'node:events';
 import { createServer } from 'node:net';
@@ -15,7 +17,7 @@
 const HOST = '127.0.0.1';
 const DOMAIN = 'domain-a';
 const POLL_MS = 20;
-const GIVE_UP_POLLS = 2500;
+const MAX_POLLS = 2500;
 const OPERATOR_TOKEN = 'test-operator';
 export const PEER_SECRET = 'test-peer';
 export const TEAM_KEY = 'key-one';
@@ -51,20 +53,20 @@
   return `http://${host}:${port}`;
 }
 
-/** Waits for what must come; fails loudly if it never does. */
-export async function waitUntil(holds: () => boolean | Promise<boolean>): Promise<void> {
-  for (let i = 0; i < GIVE_UP_POLLS; i++) {
-    if (await holds()) {
+/** Polls until the condition holds. Throws if it does not within MAX_POLLS polls. */
+export async function waitUntil(condition: () => boolean | Promise<boolean>): Promise<void> {
+  for (let i = 0; i < MAX_POLLS; i++) {
+    if (await condition()) {
       return;
     }
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_MS);
     });
   }
-  throw new Error('waited in vain');
+  throw new Error('condition not met in time');
 }
 
-/** The manifest of the tests, serving `version` of its model. */
+/** Creates the test manifest, in which model `letters` is served in `version`. */
 export function createManifest(version = 'v1'): unknown {
   const hash = (key: string): string => `sha256:${createHash('sha256').update(key).digest('hex')}`;
   return {
@@ -138,7 +140,9 @@
   });
 }
 
-/** Starts `daemonCount` daemons in one domain before four engines of two stages. */
+/**
+ * Starts `daemonCount` daemons, and four engines, two for each of two stages, all in one domain.
+ */
 export async function startHarness(daemonCount = 1): Promise<Harness> {
   process.env.TEST_PEER_SECRET = PEER_SECRET;
   process.env.TEST_OPERATOR_TOKEN = OPERATOR_TOKEN;
--- a/packages/daemon/src/__tests__/unit/DaemonSettings.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonSettings.test.ts
@@ -3,15 +3,15 @@
 import { createDefaultSettings, parseSettings } from '../../DaemonSettings.js';
 
 describe('DaemonSettings', () => {
-  it('takes the settings that it prints as defaults', () => {
+  it('accepts the settings that it prints as defaults', () => {
     const defaults = createDefaultSettings();
     expect(parseSettings(JSON.stringify(defaults))).to.deep.equal(defaults);
   });
 
-  // Symptom: a misspelt limit is silently ignored, or faults come out one restart at a time.
-  // Sequence: a settings file with an unknown key, a wrong type, a host name and a contradiction.
-  // Cause: checks that stop at the first fault. All must be told together, each with its path.
-  it('tells all faults together, each with its path', () => {
+  // Guards against a misspelt limit that is silently ignored, and against a validation that stops
+  // at the first fault, so that each restart reveals only one. The file has a host name instead of
+  // an address, a wrong type, an unknown key and an invalid value.
+  it('reports all faults together, each with its path', () => {
     const { callers, ...rest } = createDefaultSettings();
     const text = JSON.stringify({
       ...rest,
@@ -31,11 +31,11 @@
     );
   });
 
-  it('refuses contradictions: one address twice, no time to end running requests', () => {
+  it('rejects a duplicate address, and a grace period that ends before the balancer lag', () => {
     const defaults = createDefaultSettings();
     const same = { ...defaults, admin: defaults.callers };
     expect(() => parseSettings(JSON.stringify(same))).to.throw(/admin: same address/);
-    const hasty = { ...defaults, shutdown: { balancerLagMs: 5000, graceMs: 1000 } };
-    expect(() => parseSettings(JSON.stringify(hasty))).to.throw(/shutdown.graceMs/);
+    const shortGrace = { ...defaults, shutdown: { balancerLagMs: 5000, graceMs: 1000 } };
+    expect(() => parseSettings(JSON.stringify(shortGrace))).to.throw(/shutdown.graceMs/);
   });
 });
--- a/packages/daemon/src/__tests__/unit/DaemonStop.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonStop.test.ts
@@ -6,7 +6,7 @@
 const AUTH = { authorization: `Bearer ${TEAM_KEY}` };
 const TOKENS = 80;
 const MESSAGES = [{ role: 'user', content: `a long letter tokens=${TOKENS}` }];
-const RIGHT_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
+const EXPECTED_ANSWER = computeAnswer(renderPrompt(MESSAGES), 256).text;
 
 async function readChat(daemon: HarnessDaemon | undefined): Promise<string> {
   const res = await postJson(
@@ -26,10 +26,10 @@
   });
   afterEach(() => harness.stop());
 
-  // Symptom: callers see streams cut off at each deployment.
-  // Sequence: a planned stop begins while answers are under way and the balancer still sends new ones.
-  // Cause: closing before the lag is over, or before what runs has ended.
-  it('serves through the lag, ends what runs, and is not ready from the start', async () => {
+  // Guards against answers that break off at each deployment: a graceful stop begins while requests
+  // run and the load balancer still sends new ones, and the instance closes before the balancer lag
+  // is over or before its running requests have ended.
+  it('reports not ready at once, serves during the balancer lag and completes running requests', async () => {
     const [, stopping] = harness.daemons;
     const early = [1, 2, 3].map(() => readChat(stopping));
     await waitUntil(() => harness.engines.some(({ readLoad }) => readLoad().running > 0));
@@ -37,15 +37,15 @@
     const readiness = await fetch(`${stopping?.admin}/readyz`);
     const late = readChat(stopping);
     expect(readiness.status).to.equal(503);
-    expect(await Promise.all([...early, late])).to.deep.equal(Array(4).fill(RIGHT_ANSWER));
+    expect(await Promise.all([...early, late])).to.deep.equal(Array(4).fill(EXPECTED_ANSWER));
     await stopped;
-    expect(await readChat(harness.daemons[0])).to.equal(RIGHT_ANSWER);
+    expect(await readChat(harness.daemons[0])).to.equal(EXPECTED_ANSWER);
   });
 
-  // Symptom: a second statement is sent after its caller was told nothing.
-  // Sequence: a keyed call is carried out by an instance that then goes; its caller resends to another.
-  // Cause: an answer known to one instance only. The owner of the key's slot must know the outcome.
-  it('answers a resend to another instance after the first one has gone', async () => {
+  // Guards against a call that is executed twice: an instance executes a call with an idempotency
+  // key and stops, and the caller sends it again to another instance. The owner of the key's claim
+  // slot must know the outcome, not only the first instance.
+  it('answers a repeated call at another instance after the first one has stopped', async () => {
     const post = (daemon: HarnessDaemon | undefined): Promise<Response> =>
       postJson(
         `${daemon?.callers}/services/accounts/receipts`,
@@ -64,10 +64,10 @@
     expect(harness.service.ledger.read().entries).to.have.length(1);
   });
 
-  // Symptom: an engine that is being replaced gets new work until it goes, and cuts it off.
-  // Sequence: the engine reports that it leaves; the platform's list does not say so yet.
-  // Cause: waiting for the list. The engine's own word must be enough, for every instance.
-  it('gives a leaving engine no new work once its report says so', async () => {
+  // Guards against an engine that gets new work until it stops, and then aborts it: the engine
+  // reports that it is leaving before the platform's list shows it. Its own report must be enough,
+  // for every instance.
+  it('sends no new work to an engine once it reports that it is leaving', async () => {
     const leaving = harness.engines[0];
     if (!leaving) {
       throw new Error('no engine');
@@ -81,7 +81,7 @@
     const answers = await Promise.all(
       harness.daemons.flatMap((daemon) => [1, 2, 3, 4].map(() => readChat(daemon))),
     );
-    expect(answers).to.deep.equal(Array(8).fill(RIGHT_ANSWER));
+    expect(answers).to.deep.equal(Array(8).fill(EXPECTED_ANSWER));
     expect(leaving.ledger.read().entries).to.deep.equal([]);
   });
 
--- a/packages/store/src/FakeRangeStore.ts
+++ b/packages/store/src/FakeRangeStore.ts
@@ -1,54 +1,54 @@
-/** A store of keys in memory behind StoreRangePort, with the faults that a real one has. For tests. */
+/** In-memory StoreRangePort for tests, with outages, lease expiry and compaction as in the real store. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreOutcome } from './StorePort.js';
 import type { StoreEvent, StoreItem, StoreRangePort } from './StoreRange.js';
 
 export interface FakeRangeStore extends StoreRangePort {
-  /** Writes past all conditions, as the operator and the servers do. */
+  /** Writes unconditionally, as the operator and the backend servers do. */
   put(key: string, value: string): void;
   remove(key: string): void;
   get(key: string): string | null;
-  /** While down, no call is answered. */
+  /** While unavailable, every call resolves as `unknown`. */
   setAvailable(isUp: boolean): void;
-  /** Forgets what happened so far; watches from before are told so. */
+  /** Discards the event history; watches from an older revision get `compacted`. */
   compact(): void;
   countCalls(): number;
 }
 
 interface Lease {
   readonly ttl: Millis;
-  until: Millis;
+  expiresAt: Millis;
 }
 
-const PAGE = 10;
+const PAGE_SIZE = 10;
 
 export function createFakeRangeStore(timers: TimerService): FakeRangeStore {
   const items = new Map<string, StoreItem & { readonly lease: number }>();
   const leases = new Map<number, Lease>();
   let log: StoreEvent[] = [];
   let revision = 1;
-  let compactedAt = 0;
+  let compactedRevision = 0;
   let isUp = true;
   let calls = 0;
-  /** Watches that wait for something to happen. */
+  /** Callbacks of pending watches; each is called on the next change. */
   const waiting = new Set<() => void>();
 
-  function wakeWatches(): void {
-    [...waiting].forEach((wake) => wake());
+  function notifyWatches(): void {
+    [...waiting].forEach((notify) => notify());
   }
 
-  /** Resolves with the next change, and at the latest when the first lease ends or the wait is over. */
+  /** Resolves at the next change, when the first lease expires, or at `until`, whichever is first. */
   function waitForChange(until: Millis): Promise<void> {
-    const firstEnd = Math.min(until, ...[...leases.values()].map((lease) => lease.until));
+    const resolveAt = Math.min(until, ...[...leases.values()].map((lease) => lease.expiresAt));
     return new Promise((resolve) => {
-      const undo = timers.registerTimeout(Math.max(0, firstEnd - timers.now()), wake);
-      function wake(): void {
-        undo();
-        waiting.delete(wake);
+      const cancelTimeout = timers.registerTimeout(Math.max(0, resolveAt - timers.now()), finish);
+      function finish(): void {
+        cancelTimeout();
+        waiting.delete(finish);
         resolve();
       }
-      waiting.add(wake);
+      waiting.add(finish);
     });
   }
 
@@ -57,20 +57,20 @@
     const item = { key, value, revision, lease };
     items.set(key, item);
     log.push({ kind: 'written', item });
-    wakeWatches();
+    notifyWatches();
   }
 
   function remove(key: string): void {
     if (items.delete(key)) {
       revision += 1;
       log.push({ kind: 'removed', key, revision });
-      wakeWatches();
+      notifyWatches();
     }
   }
 
   function expireLeases(): void {
-    for (const [id, { until }] of leases) {
-      if (timers.now() >= until) {
+    for (const [id, { expiresAt }] of leases) {
+      if (timers.now() >= expiresAt) {
         endLease(id);
       }
     }
@@ -81,10 +81,10 @@
     [...items.values()].filter(({ lease }) => lease === id).forEach(({ key }) => remove(key));
   }
 
-  function answer<T>(work: () => StoreOutcome<T>): Promise<StoreOutcome<T>> {
+  function answer<T>(operation: () => StoreOutcome<T>): Promise<StoreOutcome<T>> {
     calls += 1;
     expireLeases();
-    return Promise.resolve(isUp ? work() : { kind: 'unknown' });
+    return Promise.resolve(isUp ? operation() : { kind: 'unknown' });
   }
 
   function getRevision(event: StoreEvent): number {
@@ -101,12 +101,12 @@
     get: (key) => items.get(key)?.value ?? null,
     setAvailable(next) {
       isUp = next;
-      wakeWatches();
+      notifyWatches();
     },
     compact() {
-      compactedAt = revision;
+      compactedRevision = revision;
       log = [];
-      wakeWatches();
+      notifyWatches();
     },
     countCalls: () => calls,
     readRange: (prefix, after) =>
@@ -114,8 +114,8 @@
         const found = [...items.values()]
           .filter(({ key }) => key.startsWith(prefix) && key > (after ?? ''))
           .sort((a, b) => (a.key < b.key ? -1 : 1));
-        const page = found.slice(0, PAGE);
-        const next = found.length > PAGE ? (page.at(-1)?.key ?? null) : null;
+        const page = found.slice(0, PAGE_SIZE);
+        const next = found.length > PAGE_SIZE ? (page.at(-1)?.key ?? null) : null;
         return { kind: 'done', value: { items: page, next, revision } };
       }),
     async watchRange(prefix, from, wait) {
@@ -126,7 +126,7 @@
         if (!isUp) {
           return { kind: 'unknown' };
         }
-        if (from < compactedAt) {
+        if (from < compactedRevision) {
           return { kind: 'done', value: { kind: 'compacted' } };
         }
         const events = log.filter(
@@ -156,7 +156,7 @@
     grantLease: (ttl) =>
       answer(() => {
         const id = leases.size + revision * 1000;
-        leases.set(id, { ttl, until: timers.now() + ttl });
+        leases.set(id, { ttl, expiresAt: timers.now() + ttl });
         return { kind: 'done', value: id };
       }),
     renewLease: (id) =>
@@ -165,7 +165,7 @@
         if (!lease) {
           return { kind: 'refused', reason: { kind: 'lapsed' } };
         }
-        lease.until = timers.now() + lease.ttl;
+        lease.expiresAt = timers.now() + lease.ttl;
         return { kind: 'done', value: null };
       }),
     revokeLease: (id) =>
--- a/packages/store/src/FakeStore.ts
+++ b/packages/store/src/FakeStore.ts
@@ -1,7 +1,7 @@
 /**
- * The platform in memory, for tests and benches: the whole port over virtual time, with its faults.
- * Faults are set for everybody or for one client, so that a cut-off domain can be brought about; a
- * single call can be told its fate, so that a test can place a lost answer exactly.
+ * In-memory StorePort over virtual time with fault injection, for tests and benchmarks. Faults apply to
+ * all clients or to one, so that a test can isolate a failure domain; a fault can also be injected into
+ * a single call, so that a test controls exactly which answer is lost.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -15,26 +15,26 @@
   StorePort,
 } from './StorePort.js';
 
-/** How the platform misbehaves. Shares are probabilities from 0 to 1, drawn for each call. */
+/** Faults to simulate. Fields described as a share are probabilities from 0 to 1, drawn for each call. */
 export interface StoreFaults {
-  /** No call arrives and none is answered. */
+  /** No call reaches the service. */
   readonly outage: boolean;
-  /** Calls fail at once instead of after their timeout, as with a refused connection. */
+  /** During an outage, calls fail at once, as with a refused connection, and not after their timeout. */
   readonly refusesConnections: boolean;
-  /** Time of a call there and back, on top of the ordinary one. */
+  /** Added to the round-trip time of a call. */
   readonly extraLatency: Millis;
-  /** Share of calls that take effect and whose answer is lost. */
+  /** Share of calls that take effect but whose answer is lost. */
   readonly lostAnswers: number;
   /** Share of calls that never arrive. */
   readonly lostCalls: number;
-  /** Share of calls that arrive `lateDelay` later, long after the caller gave up. */
+  /** Share of calls that take effect after `lateDelay`, when the caller has given up. */
   readonly lateEffects: number;
   readonly lateDelay: Millis;
-  /** Share of changes that a waiting watch is not told of. */
+  /** Share of changes that are not delivered to a pending watch. */
   readonly missedWatches: number;
-  /** Share of watches that are answered at once although nothing changed. */
+  /** Share of watches that are answered at once without a change. */
   readonly repeatedWatches: number;
-  /** Age of the instance list that clients read. */
+  /** Staleness of the instance list that clients read. */
   readonly instanceLag: Millis;
 }
 
@@ -51,15 +51,15 @@
   instanceLag: 0,
 };
 
-/** Fate of a single call. `late` carries the delay after which it takes effect. */
-export type CallFate =
+/** Fault of a single call. `late` has the delay after which the call takes effect; it is not answered. */
+export type CallFault =
   | { readonly kind: 'lost-call' }
   | { readonly kind: 'lost-answer' }
   | { readonly kind: 'late'; readonly delay: Millis };
 
 export type StoreOperation = keyof StorePort;
 
-/** Calls that were made, answered or not. */
+/** Counts of all calls, answered or not. */
 export interface StoreCallCounts {
   readonly reads: number;
   readonly writes: number;
@@ -72,25 +72,25 @@
 export interface FakeStoreOptions {
   readonly timers: TimerService;
   readonly random: Random;
-  /** Time of a call there and back. */
+  /** Round-trip time of a call. */
   readonly latency?: Millis;
 }
 
 export interface FakeStore {
-  /** The port as `client` sees it. */
+  /** Returns a port that is subject to the faults of `client`. */
   connect(client: string): StorePort;
-  /** Sets some of everybody's faults, or of one client's, which then go before everybody's. */
+  /** Updates the faults of all clients, or of one client, whose own faults take precedence. */
   setFaults(faults: Partial<StoreFaults>, client?: string): void;
-  /** Decides the fate of the client's next call of that operation; several are taken in order. */
-  injectFault(client: string, operation: StoreOperation, fate: CallFate): void;
+  /** Injects a fault into the client's next call of that operation; further faults queue in order. */
+  injectFault(client: string, operation: StoreOperation, fault: CallFault): void;
   setInstances(instances: readonly InstanceRecord[]): void;
   countCalls(): StoreCallCounts;
-  /** What is stored now, without a call. */
+  /** The stored items, for access without a simulated call. */
   readonly store: FakeStoreItems;
 }
 
 const DEFAULT_LATENCY: Millis = 4;
-const WRITES: ReadonlySet<string> = new Set<StoreOperation>([
+const WRITE_OPERATIONS: ReadonlySet<string> = new Set<StoreOperation>([
   'swap',
   'remove',
   'acquireLease',
@@ -103,30 +103,30 @@
   readonly instances: readonly InstanceRecord[];
 }
 
-/** Creates an empty platform without faults. */
+/** Creates an empty store without faults. */
 export function createFakeStore(options: FakeStoreOptions): FakeStore {
   const { timers, random } = options;
   const latency = options.latency ?? DEFAULT_LATENCY;
   const store = createFakeStoreItems();
-  const faultsOf = new Map<string, Partial<StoreFaults>>();
-  const fates = new Map<string, CallFate[]>();
+  const faultsByClient = new Map<string, Partial<StoreFaults>>();
+  const queuedFaults = new Map<string, CallFault[]>();
   const counts = new Map<string, number>();
-  let faultsOfAll: StoreFaults = NO_FAULTS;
+  let sharedFaults: StoreFaults = NO_FAULTS;
   let bytesWritten = 0;
-  let lists: InstanceListVersion[] = [{ since: -Infinity, instances: [] }];
+  let instanceLists: InstanceListVersion[] = [{ since: -Infinity, instances: [] }];
 
   function getFaults(client: string): StoreFaults {
-    return { ...faultsOfAll, ...faultsOf.get(client) };
+    return { ...sharedFaults, ...faultsByClient.get(client) };
   }
 
-  function chooseFate(client: string, operation: StoreOperation): CallFate | null {
-    const decided = fates.get(`${client} ${operation}`)?.shift();
+  function chooseFault(client: string, operation: StoreOperation): CallFault | null {
+    const queued = queuedFaults.get(`${client} ${operation}`)?.shift();
     const faults = getFaults(client);
     if (faults.outage) {
       return { kind: 'lost-call' };
     }
-    if (decided) {
-      return decided;
+    if (queued) {
+      return queued;
     }
     if (random.nextFloat() < faults.lostCalls) {
       return { kind: 'lost-call' };
@@ -148,25 +148,25 @@
   ): Promise<StoreOutcome<T>> {
     counts.set(operation, (counts.get(operation) ?? 0) + 1);
     const faults = getFaults(client);
-    const fate = chooseFate(client, operation);
-    const halfWay = (latency + faults.extraLatency) / 2;
+    const fault = chooseFault(client, operation);
+    const oneWayLatency = (latency + faults.extraLatency) / 2;
     return new Promise((resolve) => {
-      const giveUpAfter = faults.outage && faults.refusesConnections ? halfWay : timeout;
-      // A watch that runs out is answered at its timeout, so its caller listens a little longer.
+      const giveUpAfter = faults.outage && faults.refusesConnections ? oneWayLatency : timeout;
+      // A watch without changes is answered at its timeout, so its caller waits one round trip longer.
       const grace = operation === 'watch' ? latency + faults.extraLatency : 0;
       const cancelDeadline = timers.registerTimeout(giveUpAfter + grace, () =>
         resolve({ kind: 'unknown' }),
       );
-      if (fate?.kind === 'lost-call') {
+      if (fault?.kind === 'lost-call') {
         return;
       }
-      const arrivesAfter = fate?.kind === 'late' ? fate.delay : halfWay;
+      const arrivesAfter = fault?.kind === 'late' ? fault.delay : oneWayLatency;
       timers.registerTimeout(arrivesAfter, () =>
         effect((outcome) => {
-          if (fate || getFaults(client).outage) {
+          if (fault || getFaults(client).outage) {
             return;
           }
-          timers.registerTimeout(halfWay, () => {
+          timers.registerTimeout(oneWayLatency, () => {
             cancelDeadline();
             resolve(outcome);
           });
@@ -183,12 +183,12 @@
     answer: (outcome: StoreOutcome<StoreEntry>) => void,
   ): void {
     const current = store.read(key);
-    const repeats = random.nextFloat() < getFaults(client).repeatedWatches;
-    if (current.revision !== known || repeats) {
+    const isRepeated = random.nextFloat() < getFaults(client).repeatedWatches;
+    if (current.revision !== known || isRepeated) {
       answer({ kind: 'done', value: current });
       return;
     }
-    const undo = [
+    const unregisters = [
       store.registerChange(key, (entry) => {
         if (random.nextFloat() >= getFaults(client).missedWatches) {
           finish(entry);
@@ -197,14 +197,14 @@
       timers.registerTimeout(timeout - latency, () => finish(store.read(key))),
     ];
     function finish(entry: StoreEntry): void {
-      undo.forEach((unregister) => unregister());
+      unregisters.forEach((unregister) => unregister());
       answer({ kind: 'done', value: entry });
     }
   }
 
   function readInstances(lag: Millis): readonly InstanceRecord[] {
     const asOf = timers.now() - lag;
-    return lists.findLast((version) => version.since <= asOf)?.instances ?? [];
+    return instanceLists.findLast((version) => version.since <= asOf)?.instances ?? [];
   }
 
   function connect(client: string): StorePort {
@@ -243,25 +243,25 @@
     store,
     setFaults(faults, client) {
       if (client === undefined) {
-        faultsOfAll = { ...faultsOfAll, ...faults };
+        sharedFaults = { ...sharedFaults, ...faults };
       } else {
-        faultsOf.set(client, { ...faultsOf.get(client), ...faults });
+        faultsByClient.set(client, { ...faultsByClient.get(client), ...faults });
       }
     },
-    injectFault(client, operation, fate) {
+    injectFault(client, operation, fault) {
       const name = `${client} ${operation}`;
-      fates.set(name, [...(fates.get(name) ?? []), fate]);
+      queuedFaults.set(name, [...(queuedFaults.get(name) ?? []), fault]);
     },
     setInstances(instances) {
-      lists = [...lists, { since: timers.now(), instances }];
+      instanceLists = [...instanceLists, { since: timers.now(), instances }];
     },
     countCalls() {
       const all = [...counts];
-      const sum = (wanted: (operation: string) => boolean): number =>
-        all.filter(([name]) => wanted(name)).reduce((total, [, count]) => total + count, 0);
+      const sum = (isCounted: (operation: string) => boolean): number =>
+        all.filter(([name]) => isCounted(name)).reduce((total, [, count]) => total + count, 0);
       return {
-        reads: sum((name) => !WRITES.has(name)),
-        writes: sum((name) => WRITES.has(name)),
+        reads: sum((name) => !WRITE_OPERATIONS.has(name)),
+        writes: sum((name) => WRITE_OPERATIONS.has(name)),
         watches: counts.get('watch') ?? 0,
         bytesWritten,
         byOperation: Object.fromEntries(all),
--- a/packages/store/src/FakeStoreItems.ts
+++ b/packages/store/src/FakeStoreItems.ts
@@ -1,24 +1,23 @@
 /**
- * What the fake platform keeps: values with revisions, leases, and watches that wait. No time of its
- * own passes here; each call names the time at which it takes effect.
+ * State of the fake store: values with revisions, leases and change listeners. It has no clock of its
+ * own; callers pass the current time to each lease operation.
  */
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import type { StoreEntry, StoreLease, StoreOutcome } from './StorePort.js';
 
-/** Largest value that the service holds, in bytes. */
+/** Largest value that the service accepts, in bytes. */
 export const MAX_VALUE_BYTES = 1024 * 1024;
 
 interface HeldLease {
   readonly holder: string;
   readonly fencing: number;
-  readonly lapsesAt: Millis;
+  readonly expiresAt: Millis;
 }
 
 type ChangeListener = (entry: StoreEntry) => void;
 
-const NO_ENTRY: StoreEntry = { revision: 0, value: '' };
+const MISSING_ENTRY: StoreEntry = { revision: 0, value: '' };
 
-/** Values and leases of the fake platform. */
 export interface FakeStoreItems {
   read(key: string): StoreEntry;
   swap(key: string, expected: number, value: string): StoreOutcome<number>;
@@ -28,13 +27,13 @@
   acquire(key: string, holder: string, ttl: Millis, now: Millis): StoreOutcome<StoreLease>;
   renew(lease: StoreLease, now: Millis): StoreOutcome<StoreLease>;
   release(lease: StoreLease, now: Millis): StoreOutcome<null>;
-  /** Bytes of all values. */
+  /** Total size of all values, in bytes. */
   countBytes(): number;
 }
 
 /**
- * Creates an empty store. Revisions start again at 1 when a removed key is created anew, as some
- * services do: a user who relies on revisions that never repeat is found out here.
+ * Creates an empty store. As in some services, the revision of a key that is removed and created again
+ * restarts at 1, so that tests expose code that relies on revisions never repeating.
  */
 export function createFakeStoreItems(): FakeStoreItems {
   const entries = new Map<string, StoreEntry>();
@@ -43,7 +42,7 @@
   let lastFencing = 0;
 
   function read(key: string): StoreEntry {
-    return entries.get(key) ?? NO_ENTRY;
+    return entries.get(key) ?? MISSING_ENTRY;
   }
 
   function notify(key: string): void {
@@ -51,13 +50,13 @@
     [...(listeners.get(key) ?? [])].forEach((listener) => listener(entry));
   }
 
-  function findLease(key: string, now: Millis): HeldLease | undefined {
+  function findActiveLease(key: string, now: Millis): HeldLease | undefined {
     const lease = leases.get(key);
-    return lease && lease.lapsesAt > now ? lease : undefined;
+    return lease && lease.expiresAt > now ? lease : undefined;
   }
 
   function isHeldBy(lease: StoreLease, now: Millis): boolean {
-    const held = findLease(lease.key, now);
+    const held = findActiveLease(lease.key, now);
     return held?.holder === lease.holder && held.fencing === lease.fencing;
   }
 
@@ -86,20 +85,20 @@
     },
     list: (prefix) => [...entries.keys()].filter((key) => key.startsWith(prefix)).sort(),
     registerChange(key, listener) {
-      const ofKey = listeners.get(key) ?? new Set<ChangeListener>();
-      ofKey.add(listener);
-      listeners.set(key, ofKey);
+      const keyListeners = listeners.get(key) ?? new Set<ChangeListener>();
+      keyListeners.add(listener);
+      listeners.set(key, keyListeners);
       return () => {
-        ofKey.delete(listener);
+        keyListeners.delete(listener);
       };
     },
     acquire(key, holder, ttl, now) {
-      const held = findLease(key, now);
+      const held = findActiveLease(key, now);
       if (held && held.holder !== holder) {
         return { kind: 'refused', reason: { kind: 'held', holder: held.holder } };
       }
       lastFencing += 1;
-      leases.set(key, { holder, fencing: lastFencing, lapsesAt: now + ttl });
+      leases.set(key, { holder, fencing: lastFencing, expiresAt: now + ttl });
       return { kind: 'done', value: { key, holder, fencing: lastFencing, ttl } };
     },
     renew(lease, now) {
@@ -109,7 +108,7 @@
       leases.set(lease.key, {
         holder: lease.holder,
         fencing: lease.fencing,
-        lapsesAt: now + lease.ttl,
+        expiresAt: now + lease.ttl,
       });
       return { kind: 'done', value: lease };
     },
--- a/packages/store/src/StoreBudget.ts
+++ b/packages/store/src/StoreBudget.ts
@@ -1,11 +1,11 @@
 /**
- * The local budget of calls. The whole fleet shares the service's rates; each instance takes its part
- * of them, so what one may call shrinks as the fleet grows. Pure functions over the buckets' state.
+ * Client-side rate limiting of store calls with token buckets. The fleet shares the service's rate
+ * limits, so each instance's share shrinks as the fleet grows. Pure functions over immutable buckets.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-/** What a call is made for, from the most to the least urgent. */
+/** Purposes of calls, from the highest to the lowest priority. */
 export const StoreUse = {
   Claims: 'claims',
   Leases: 'leases',
@@ -16,25 +16,25 @@
 
 export type StoreUseName = (typeof StoreUse)[keyof typeof StoreUse];
 
-/** Which of the service's two rates a call counts against. */
+/** Which of the service's two rate limits a call counts against. */
 export type CallKind = 'read' | 'write';
 
-/** Rates of the whole fleet, and how much an instance may save up. */
+/** Rate limits of the fleet and of one instance, and the burst that a bucket allows. */
 export interface BudgetRates {
   readonly fleetWritesPerSecond: number;
   readonly fleetReadsPerSecond: number;
   /**
-   * Rates for claims alone. They are shared by slots owned and not by instances: a few instances own
-   * the slots of a large fleet, and an equal part for each instance would starve them.
+   * Rates for claims alone, shared in proportion to owned claim slots: a few instances own the slots of
+   * a large fleet, and an equal share per instance would starve them.
    */
   readonly fleetClaimWritesPerSecond: number;
   readonly fleetClaimReadsPerSecond: number;
   /**
-   * Writes of one instance for leases. Not a part of the fleet's: a lease is held by one instance and
-   * wanted by few, and an equal part for each of many would be too little to renew it in time.
+   * Lease writes of one instance. Not divided by the fleet size: one instance holds a lease and few
+   * contend for it, and an equal share per instance would be too little to renew it in time.
    */
   readonly leaseWritesPerSecond: number;
-  /** Unused calls are saved up for this long. */
+  /** Unused calls accumulate for up to this time. */
   readonly burst: Millis;
 }
 
@@ -47,12 +47,12 @@
   burst: 4000,
 };
 
-/** A bucket holds at least this many calls, or a large fleet's instances could not call at all. */
-const LEAST_CAPACITY = 4;
+/** Minimum bucket size in calls; without it, the instances of a large fleet could not call at all. */
+const MIN_CAPACITY = 4;
 
 /**
- * Part of a bucket that a use leaves for the more urgent ones. Without it, collecting garbage could
- * use up what the next claim needs, which would show as keyed requests waiting during a clean-up.
+ * Share of a bucket that a use leaves to uses of higher priority. Without it, garbage collection could
+ * take the tokens that the next claim needs, and keyed requests would wait during a clean-up.
  */
 const RESERVED_SHARE: Readonly<Record<StoreUseName, number>> = {
   [StoreUse.Claims]: 0,
@@ -64,32 +64,31 @@
 
 interface Bucket {
   readonly tokens: number;
-  readonly filledAt: Millis;
+  readonly refilledAt: Millis;
 }
 
-/** What an instance's part of the rates is worked out from. */
+/** Inputs for computing an instance's share of the rates. */
 export interface BudgetShares {
-  /** Live instances, ourselves included. */
+  /** Live instances, including this one. */
   readonly instances: number;
-  /** Part of all claim slots that are ours, 0 to 1. */
+  /** Share of all claim slots that this instance owns, 0 to 1. */
   readonly claims: number;
 }
 
 type BucketName = CallKind | 'claim-read' | 'claim-write' | 'lease-write';
 
-/** The buckets of an instance. One that was never drawn from is full. */
+/** The token buckets of an instance. A missing bucket is full. */
 export type StoreBudget = ReadonlyMap<BucketName, Bucket>;
 
-/** A budget with full buckets. */
 export const FULL_BUDGET: StoreBudget = new Map();
 
-/** A call's share of the budget: `wait` is 0 if the call was taken from it. */
+/** Result of drawing a call: `wait` is 0 if it was granted, else the time until the next attempt. */
 export interface BudgetDraw {
   readonly budget: StoreBudget;
   readonly wait: Millis;
 }
 
-/** Takes one call from the budget, or tells how long there will be none for this use. */
+/** Takes one call from the budget, or returns how long this use must wait for one. */
 export function drawCall(
   budget: StoreBudget,
   rates: BudgetRates,
@@ -100,14 +99,14 @@
 ): BudgetDraw {
   const name = getBucketName(kind, use);
   const rate = getRate(rates, name, shares) / MILLIS_PER_SECOND;
-  const capacity = Math.max(LEAST_CAPACITY, rate * rates.burst);
-  const bucket = budget.get(name) ?? { tokens: capacity, filledAt: now };
-  const tokens = Math.min(capacity, bucket.tokens + (now - bucket.filledAt) * rate);
+  const capacity = Math.max(MIN_CAPACITY, rate * rates.burst);
+  const bucket = budget.get(name) ?? { tokens: capacity, refilledAt: now };
+  const tokens = Math.min(capacity, bucket.tokens + (now - bucket.refilledAt) * rate);
   const needed = 1 + RESERVED_SHARE[use] * capacity;
   const isGranted = tokens >= needed;
   const left = isGranted ? tokens - 1 : tokens;
   return {
-    budget: new Map([...budget, [name, { tokens: left, filledAt: now }]]),
+    budget: new Map([...budget, [name, { tokens: left, refilledAt: now }]]),
     wait: isGranted ? 0 : Math.max(1, Math.ceil((needed - tokens) / rate)),
   };
 }
--- a/packages/store/src/StoreCircuit.ts
+++ b/packages/store/src/StoreCircuit.ts
@@ -1,19 +1,19 @@
 /**
- * Keeps an instance from hammering a service that does not answer. After several calls in a row
- * without an answer only one probe at a time is let through, at growing, jittered intervals; the
+ * Circuit breaker that keeps an instance from overloading a service that does not answer. After several
+ * consecutive unanswered calls it lets only single probes through, at growing, jittered intervals; the
  * first answer of any kind closes the circuit. Pure functions over an immutable state.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
 export interface StoreCircuit {
-  /** Calls in a row that had no answer. */
+  /** Consecutive calls without an answer. */
   readonly unanswered: number;
-  /** Time of the next probe while the circuit is open. */
+  /** Earliest time of the next probe while the circuit is open. */
   readonly probeAt: Millis;
 }
 
 export interface CircuitSettings {
-  /** Calls in a row without an answer that open the circuit. */
+  /** Number of consecutive unanswered calls that opens the circuit. */
   readonly openAfter: number;
   readonly firstPause: Millis;
   readonly longestPause: Millis;
@@ -27,12 +27,12 @@
 
 export const CLOSED_CIRCUIT: StoreCircuit = { unanswered: 0, probeAt: 0 };
 
-/** Whether calls are being held back. */
+/** Whether calls other than probes are rejected. */
 export function isCircuitOpen(circuit: StoreCircuit, settings: CircuitSettings): boolean {
   return circuit.unanswered >= settings.openAfter;
 }
 
-/** The circuit once a call asks to go out, and how long it must wait; 0 lets it through. */
+/** Checks whether a call may be sent. Returns the new circuit and the time to wait; 0 permits the call. */
 export function admitCall(
   circuit: StoreCircuit,
   settings: CircuitSettings,
@@ -44,23 +44,23 @@
   if (now < circuit.probeAt) {
     return { circuit, wait: circuit.probeAt - now };
   }
-  // The probe moves the time on at once, or all callers of this moment would be let through with it.
+  // Sending a probe defers the next one at once; otherwise all concurrent callers would pass with it.
   return { circuit: { ...circuit, probeAt: now + getPause(circuit, settings) }, wait: 0 };
 }
 
-/** The circuit after a call; `spread` in [0, 1) is its random part of the next pause. */
+/** Returns the circuit after a call; `jitter` in [0, 1) is the random part of the next pause. */
 export function recordAnswer(
   circuit: StoreCircuit,
   settings: CircuitSettings,
   answered: boolean,
   now: Millis,
-  spread: number,
+  jitter: number,
 ): StoreCircuit {
   if (answered) {
     return CLOSED_CIRCUIT;
   }
   const next = { unanswered: circuit.unanswered + 1, probeAt: circuit.probeAt };
-  const pause = getPause(next, settings) * (0.5 + spread / 2);
+  const pause = getPause(next, settings) * (0.5 + jitter / 2);
   return { ...next, probeAt: Math.max(circuit.probeAt, now + pause) };
 }
 
--- a/packages/store/src/StoreClient.ts
+++ b/packages/store/src/StoreClient.ts
@@ -1,7 +1,7 @@
 /**
- * The platform as the rest of an instance uses it: the same port, with deadlines that hold whatever
- * the adapter does, a budget sized from the live instance count, priorities between uses, and a
- * circuit that keeps a fleet from hammering a service in outage.
+ * The store client of an instance. It wraps a StorePort with deadlines that hold whatever the adapter
+ * does, a rate limit sized from the number of live instances, priorities between uses, and a circuit
+ * breaker that keeps the fleet from overloading a service in outage.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -28,15 +28,18 @@
   readonly port: StorePort;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Live instances as far as is known, ourselves included; read at each call. */
+  /** Number of known live instances, including this one; read at each call. */
   readonly countInstances: () => number;
-  /** Part of all claim slots that this instance owns, 0 to 1; none if left out. */
+  /** Share of all claim slots that this instance owns, 0 to 1; defaults to 0. */
   readonly getClaimShare?: () => number;
   readonly rates?: BudgetRates;
   readonly circuit?: CircuitSettings;
 }
 
-/** What an instance's calls came to, for metrics. */
+/**
+ * Counts of calls, for metrics. `overBudget` and `heldBack` are calls that were not sent, because of the
+ * local budget or of the open circuit.
+ */
 export interface StoreClientCounts {
   readonly sent: number;
   readonly done: number;
@@ -47,16 +50,16 @@
 }
 
 export interface StoreClient {
-  /** The port for one use; all uses share the budget and the circuit. */
+  /** Returns a port for one use; all uses share the budget and the circuit. */
   forUse(use: StoreUseName): StorePort;
-  /** Whether the service is taken to be in outage. */
+  /** Whether the circuit is open, that is, the service is considered down. */
   isCircuitOpen(): boolean;
   getCounts(): StoreClientCounts;
 }
 
-/** A call waits in our own queue for at most this part of its timeout. */
-const WAITING_SHARE = 0.5;
-/** A long watch is given up this long after the service should have answered it. */
+/** A call waits for the budget for at most this share of its timeout. */
+const MAX_BUDGET_WAIT_SHARE = 0.5;
+/** A long-poll watch times out this long after the service should have answered it. */
 const WATCH_GRACE: Millis = 1000;
 
 type SendCall<T> = (options: CallOptions) => Promise<StoreOutcome<T>>;
@@ -87,13 +90,13 @@
     });
   }
 
-  /** Waits for the budget; gives the wait that is still needed if it is longer than `patience`. */
+  /** Waits for the budget and returns 0, or returns the remaining wait once it exceeds `maxWait`. */
   async function waitForBudget(
     kind: CallKind,
     use: StoreUseName,
-    patience: Millis,
+    maxWait: Millis,
   ): Promise<Millis> {
-    const giveUpAt = timers.now() + patience;
+    const giveUpAt = timers.now() + maxWait;
     for (;;) {
       const shares = { instances: countInstances(), claims: options.getClaimShare?.() ?? 0 };
       const draw = drawCall(budget, rates, shares, kind, use, timers.now());
@@ -116,7 +119,7 @@
         cancel();
         resolve(outcome);
       };
-      // An adapter that throws cannot tell whether the call arrived.
+      // If the adapter throws, it is unknown whether the call reached the service.
       send({ timeout }).then(finish, () => finish({ kind: 'unknown' }));
     });
   }
@@ -135,10 +138,10 @@
       count('heldBack');
       return { kind: 'refused', reason: { kind: 'unavailable', retryAfter: asked.wait } };
     }
-    const stillNeeded = await waitForBudget(kind, use, timeout * WAITING_SHARE);
-    if (stillNeeded > 0) {
+    const remainingWait = await waitForBudget(kind, use, timeout * MAX_BUDGET_WAIT_SHARE);
+    if (remainingWait > 0) {
       count('overBudget');
-      return { kind: 'refused', reason: { kind: 'over-budget', retryAfter: stillNeeded } };
+      return { kind: 'refused', reason: { kind: 'over-budget', retryAfter: remainingWait } };
     }
     const timeLeft = timeout - (timers.now() - startedAt);
     count('sent');
--- a/packages/store/src/StoreErrors.ts
+++ b/packages/store/src/StoreErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the platform package; errors from below are turned into these. */
+/** Errors of the store package; errors of lower layers are converted to these. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Thrown by this package for any failure. */
 export const StoreError = SkylarkError.subclass('StoreError');
--- a/packages/store/src/StoreLeaseHolder.ts
+++ b/packages/store/src/StoreLeaseHolder.ts
@@ -1,7 +1,8 @@
 /**
- * Takes a lease, renews it, and says when it is not safe to rely on any more. The holder counts from
- * before it asked, on its own monotonic clock, and stops a margin before the lease could lapse. What
- * acts under the lease asks `getLease` just before it acts; a holder that was paused is told no.
+ * Acquires a lease, renews it, and reports when it can no longer be relied on. The holder measures the
+ * lease's time from before it sent the request, on its own monotonic clock, and stops relying on the
+ * lease a margin before it could lapse. Code that acts under the lease calls `getLease` just before it
+ * acts, and gets null if the process was paused past that point.
  */
 import { jitter, type Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -15,105 +16,108 @@
   readonly key: string;
   readonly holder: string;
   readonly ttl: Millis;
-  /** How long before the lease could lapse the holder stops relying on it. */
+  /** How long before a possible lapse the holder stops relying on the lease. */
   readonly margin: Millis;
   readonly onAcquired: (lease: StoreLease) => void;
-  /** The lease is lost or may be; called once for each time that it was acquired. */
+  /** The lease is lost or may be lost; called at most once per acquisition, and not after `stop`. */
   readonly onLost: () => void;
 }
 
 export interface LeaseHolder {
-  /** The lease if it is safe to act under it now, else null. Never act on an older answer. */
+  /** Returns the lease if it is safe to act under it now, else null. Don't cache the result. */
   getLease(): StoreLease | null;
-  /** Gives the lease back, if it is held, and stops asking for it. */
+  /** Releases the lease if it is held, and stops acquiring and renewing it. */
   stop(): void;
 }
 
-/** Parts of the safe time: until the first renewal, for one call, and until an unanswered one is repeated. */
+/**
+ * Shares of the time for which a lease counts as valid (TTL less margin): the delay before a renewal, the
+ * timeout of a call, and the delay before a failed renewal is retried.
+ */
 const RENEW_SHARE = 0.3;
-const CALL_SHARE = 0.12;
-const REPEAT_SHARE = 0.03;
-/** Part of the lease's time after which a lease that another holds is asked for again. */
-const RETRY_SHARE = 0.25;
+const CALL_TIMEOUT_SHARE = 0.12;
+const RENEW_RETRY_SHARE = 0.03;
+/** Share of the TTL after which a lease that was lost or not acquired is requested again. */
+const REACQUIRE_SHARE = 0.25;
 const JITTER_SHARE = 0.3;
 
 interface HeldLease {
   readonly lease: StoreLease;
-  readonly safeUntil: Millis;
+  readonly validUntil: Millis;
 }
 
-/** Starts asking for the lease at once. */
+/** Creates a holder that requests the lease at once. */
 export function createLeaseHolder(options: LeaseHolderOptions): LeaseHolder {
   const { port, timers, random, key, holder, ttl, margin } = options;
-  const safeTime = ttl - margin;
-  const callOptions = { timeout: safeTime * CALL_SHARE };
+  const validTime = ttl - margin;
+  const callOptions = { timeout: validTime * CALL_TIMEOUT_SHARE };
   let held: HeldLease | null = null;
   let stopped = false;
-  let cancelNext: Unregister = () => undefined;
-  let cancelLoss: Unregister = () => undefined;
+  let cancelNextCall: Unregister = () => undefined;
+  let cancelExpiry: Unregister = () => undefined;
 
   function schedule(delay: Millis): void {
-    cancelNext();
+    cancelNextCall();
     if (!stopped) {
-      cancelNext = timers.registerTimeout(jitter(random, delay, JITTER_SHARE), () => {
+      cancelNextCall = timers.registerTimeout(jitter(random, delay, JITTER_SHARE), () => {
         void (held ? renew(held) : acquire());
       });
     }
   }
 
-  function hold(lease: StoreLease, askedAt: Millis): void {
+  function setLease(lease: StoreLease, requestedAt: Millis): void {
     const wasHeld = held !== null;
-    held = { lease, safeUntil: askedAt + safeTime };
-    cancelLoss();
-    cancelLoss = timers.registerTimeout(Math.max(0, held.safeUntil - timers.now()), lose);
-    schedule(safeTime * RENEW_SHARE);
+    held = { lease, validUntil: requestedAt + validTime };
+    cancelExpiry();
+    cancelExpiry = timers.registerTimeout(Math.max(0, held.validUntil - timers.now()), dropLease);
+    schedule(validTime * RENEW_SHARE);
     if (!wasHeld) {
       options.onAcquired(lease);
     }
   }
 
-  function lose(): void {
-    cancelLoss();
+  function dropLease(): void {
+    cancelExpiry();
     if (held) {
       held = null;
       options.onLost();
-      schedule(ttl * RETRY_SHARE);
+      schedule(ttl * REACQUIRE_SHARE);
     }
   }
 
   async function acquire(): Promise<void> {
-    const askedAt = timers.now();
+    const requestedAt = timers.now();
     const outcome = await port.acquireLease(key, holder, ttl, callOptions);
-    if (outcome.kind === 'done' && !stopped && timers.now() < askedAt + safeTime) {
-      hold(outcome.value, askedAt);
+    if (outcome.kind === 'done' && !stopped && timers.now() < requestedAt + validTime) {
+      setLease(outcome.value, requestedAt);
     } else {
-      schedule(ttl * RETRY_SHARE);
+      schedule(ttl * REACQUIRE_SHARE);
     }
   }
 
   async function renew(current: HeldLease): Promise<void> {
-    const askedAt = timers.now();
+    const requestedAt = timers.now();
     const outcome = await port.renewLease(current.lease, callOptions);
     if (stopped || held?.lease.fencing !== current.lease.fencing) {
       return;
     }
-    if (outcome.kind === 'done' && timers.now() < current.safeUntil) {
-      hold(outcome.value, askedAt);
+    if (outcome.kind === 'done' && timers.now() < current.validUntil) {
+      setLease(outcome.value, requestedAt);
     } else if (outcome.kind === 'refused' && outcome.reason.kind === 'lapsed') {
-      lose();
+      dropLease();
     } else {
-      // No answer, or held back: the lease is ours until its safe time ends, which a timer watches.
-      schedule(safeTime * REPEAT_SHARE);
+      // Unanswered, rate-limited or not sent: the lease stays valid until the expiry timer drops it.
+      schedule(validTime * RENEW_RETRY_SHARE);
     }
   }
 
   void acquire();
   return {
-    getLease: () => (held && timers.now() < held.safeUntil ? held.lease : null),
+    getLease: () => (held && timers.now() < held.validUntil ? held.lease : null),
     stop() {
       stopped = true;
-      cancelNext();
-      cancelLoss();
+      cancelNextCall();
+      cancelExpiry();
       const last = held;
       held = null;
       if (last) {
--- a/packages/store/src/StoreRange.ts
+++ b/packages/store/src/StoreRange.ts
@@ -1,37 +1,37 @@
 /**
- * The store's interface for following many keys: reads of a range in pages, watches of a range, and
- * writes under conditions. Adapters and fakes implement it.
+ * Port to the store for ranges of keys: paged reads, long-poll watches, conditional transactions and
+ * leases. Adapters and fakes implement it.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { CallOptions, StoreOutcome } from './StorePort.js';
 
-/** A key as it was last written. */
+/** A key with its latest value; `revision` is that of its last write. */
 export interface StoreItem {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
 }
 
-/** What happened to a key. */
+/** A change of a key. */
 export type StoreEvent =
   | { readonly kind: 'written'; readonly item: StoreItem }
   | { readonly kind: 'removed'; readonly key: string; readonly revision: number };
 
-/** A page of a range. Several pages are not a snapshot: each is as of its own revision. */
+/** A page of a range. Several pages are not a consistent snapshot: each is read at its own revision. */
 export interface StorePage {
   readonly items: readonly StoreItem[];
-  /** Key after which the next page begins; null at the last one. */
+  /** Key after which the next page begins; null on the last page. */
   readonly next: string | null;
   /** Revision of the whole store at which the page was read. */
   readonly revision: number;
 }
 
-/** What a watch brought. `compacted`: the history asked for is no longer kept. */
+/** Result of a watch. `compacted`: the requested history is no longer kept. */
 export type StoreChanges =
   | { readonly kind: 'events'; readonly events: readonly StoreEvent[]; readonly revision: number }
   | { readonly kind: 'compacted' };
 
-/** What must hold for a write to take effect: the key is at this revision, 0 if it does not exist. */
+/** Precondition of a write: the key is at this revision, 0 if it must not exist. */
 export interface StoreCondition {
   readonly key: string;
   readonly revision: number;
@@ -40,13 +40,13 @@
 export interface StoreWrite {
   readonly key: string;
   readonly value: string;
-  /** Number of the lease with which the key goes; 0 for none. */
+  /** Id of the lease whose end removes the key; 0 for none. */
   readonly lease: number;
 }
 
 /**
- * The timeout of a call is the time in which its answer is to begin. One that goes on arriving is not given up, however
- * large it is for the link.
+ * The timeout of a call limits the time until its answer begins. An answer that keeps arriving is not
+ * aborted, however long it takes on a slow link.
  */
 export interface StoreRangePort {
   readRange(
@@ -54,23 +54,23 @@
     after: string | null,
     options: CallOptions,
   ): Promise<StoreOutcome<StorePage>>;
-  /** Answers once something has changed after `revision`, or with no event once `wait` has passed. */
+  /** Resolves when there are changes after `revision`, or without events once `wait` has passed. */
   watchRange(
     prefix: string,
     revision: number,
     wait: Millis,
     options: CallOptions,
   ): Promise<StoreOutcome<StoreChanges>>;
-  /** All or nothing; gives the new revision. */
+  /** Applies all writes and removals atomically, or none; returns the new revision. */
   write(
     conditions: readonly StoreCondition[],
     writes: readonly StoreWrite[],
     removals: readonly string[],
     options: CallOptions,
   ): Promise<StoreOutcome<number>>;
-  /** Gives the number of a new lease. */
+  /** Returns the id of a new lease. */
   grantLease(ttl: Millis, options: CallOptions): Promise<StoreOutcome<number>>;
-  /** Refused as `lapsed` if the lease has ended. */
+  /** Renews the lease for its full TTL; refused as `lapsed` if the lease has ended. */
   renewLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
   revokeLease(lease: number, options: CallOptions): Promise<StoreOutcome<null>>;
 }
--- a/packages/store/src/StoreRangeWatch.ts
+++ b/packages/store/src/StoreRangeWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows a range of keys: reads it whole once, then by long watches. A watch that is not answered in
- * time is asked again on a new connection; lost history is mended by reading the whole range anew.
+ * Watches a range of keys: reads the whole range once, then long-polls for changes. A watch that is not
+ * answered in time is repeated on a new connection; after compaction the whole range is read again.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
@@ -9,47 +9,47 @@
 import type { StoreOutcome } from './StorePort.js';
 import type { StoreEvent, StoreItem, StoreRangePort } from './StoreRange.js';
 
-/** Hears of the range. */
-export interface FollowListener {
-  /** The whole range as of a revision; keys that are missing from it are gone. */
+/** Receives the contents and changes of the range. */
+export interface RangeWatchListener {
+  /** The whole range as of a revision; keys that it does not contain no longer exist. */
   onSnapshot(items: readonly StoreItem[], revision: number): void;
   onEvent(event: StoreEvent): void;
-  /** All that happened up to this revision has been told. */
+  /** All changes up to this revision have been delivered. */
   onCaughtUp?(revision: number): void;
-  /** The store no longer answers; what was told stays the latest known. */
+  /** The store no longer answers; the contents delivered so far remain the latest known. */
   onLost(): void;
-  /** It answers again. `onSnapshot` or events follow. */
+  /** The store answers again. Missed changes follow as `onSnapshot` or `onEvent` calls. */
   onRegained(): void;
 }
 
-export interface FollowOptions {
+export interface RangeWatchOptions {
   readonly port: StoreRangePort;
   readonly timers: TimerService;
   readonly random: Random;
   readonly prefix: string;
-  /** How long the store holds a watch on which nothing happens. */
+  /** How long the store holds a watch without changes. */
   readonly wait: Millis;
-  /** How long any other answer may take. */
+  /** Timeout of other calls; for a watch, added to `wait`. */
   readonly timeout: Millis;
-  /** How long changes that come close together are gathered, so that they cost one call. */
+  /** Delay before the next watch after a change, so that one call fetches all changes of that time. */
   readonly getGatherTime: () => Millis;
-  readonly listener: FollowListener;
+  readonly listener: RangeWatchListener;
 }
 
-const FIRST_PAUSE: Millis = 50;
-/** Short beside the bound of two seconds within which a change must be in force after an outage. */
-const LONGEST_PAUSE: Millis = 400;
+const INITIAL_BACKOFF: Millis = 50;
+/** Short relative to the 2 s within which a change must be in force after an outage. */
+const MAX_BACKOFF: Millis = 400;
 const JITTER_SHARE = 0.5;
 
-/** Starts to follow; the returned function ends it. */
-export function registerRangeWatch(options: FollowOptions): Unregister {
+/** Starts the watch; the returned function stops it. */
+export function registerRangeWatch(options: RangeWatchOptions): Unregister {
   const { port, timers, random, prefix, wait, timeout, listener } = options;
   let stopped = false;
   let failures = 0;
   let isLost = false;
 
-  function pause(): Promise<void> {
-    const delay = Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** Math.min(failures, 8));
+  function backOff(): Promise<void> {
+    const delay = Math.min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** Math.min(failures, 8));
     failures += 1;
     return sleep(delay);
   }
@@ -60,8 +60,8 @@
     });
   }
 
-  /** Notes whether the store answered; the value of an answer, or null. */
-  function take<T>(outcome: StoreOutcome<T>): T | null {
+  /** Tracks whether the store answers, and returns the value of an answer or null. */
+  function recordOutcome<T>(outcome: StoreOutcome<T>): T | null {
     const isAnswered = outcome.kind === 'done';
     if (isAnswered) {
       failures = 0;
@@ -73,7 +73,10 @@
     return isAnswered ? outcome.value : null;
   }
 
-  /** The revision from which changes are missing: that of the first page, since pages may disagree. */
+  /**
+   * Reads the range and returns the revision to watch from, or null if a read failed. It is the revision
+   * of the first page, since pages may be of different revisions.
+   */
   async function readAll(): Promise<number | null> {
     const items: StoreItem[] = [];
     let from: number | null = null;
@@ -84,7 +87,7 @@
         next: string | null;
         revision: number;
       }> = await port.readRange(prefix, after, { timeout });
-      const value = stopped ? null : take(page);
+      const value = stopped ? null : recordOutcome(page);
       if (value === null) {
         return null;
       }
@@ -98,10 +101,13 @@
   }
 
   async function watchOnce(revision: number): Promise<number | null> {
-    // A store that is back is to be known at once, and not when a watch without news has run out.
-    const held = isLost ? 0 : wait;
-    const outcome = await port.watchRange(prefix, revision, held, { timeout: held + timeout });
-    const changes = stopped ? null : take(outcome);
+    // While the store is lost, poll without waiting, so that its return is noticed at once and not when a
+    // watch without changes ends.
+    const holdTime = isLost ? 0 : wait;
+    const outcome = await port.watchRange(prefix, revision, holdTime, {
+      timeout: holdTime + timeout,
+    });
+    const changes = stopped ? null : recordOutcome(outcome);
     if (changes === null) {
       return revision;
     }
@@ -121,7 +127,7 @@
     while (!stopped) {
       revision = revision === null ? await readAll() : await watchOnce(revision);
       if (!stopped && (isLost || revision === null)) {
-        await pause();
+        await backOff();
       }
     }
   }
--- a/packages/store/src/StoreSettle.ts
+++ b/packages/store/src/StoreSettle.ts
@@ -1,8 +1,8 @@
 /**
- * A swap carried through until its outcome is known, or its deadline has come. After an unanswered try
- * the stored value is read. If it carries the write's id the write took effect. If it is unchanged that
- * proves nothing, since the try may still be on its way: the same value is swapped again from the same
- * revision, and of all those tries at most one can take effect.
+ * Repeats a compare-and-swap until its outcome is known or its deadline has passed. After an unanswered
+ * try it reads the stored value. If the value contains the write's id, the write took effect. An unchanged
+ * value proves nothing, since the try may still be in flight: the same value is swapped again from the
+ * same revision, so that at most one of the tries can take effect.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -13,36 +13,36 @@
   readonly timers: TimerService;
   readonly key: string;
   readonly expected: number;
-  /** Carries an id that no other write carries. */
+  /** Contains an id that is unique to this write. */
   readonly value: string;
-  /** Whether a stored value is that write, or was written on top of it, as far as values tell. */
+  /** Whether a stored value is this write's or builds on it, as far as the values show this. */
   readonly carriesWrite: (value: string) => boolean;
-  /** Time for the whole. */
+  /** Time limit for the whole operation. */
   readonly timeLeft: Millis;
-  /** Time for each call. */
+  /** Timeout of each call. */
   readonly callTimeout: Millis;
 }
 
 export type SettledSwap =
-  /** It took effect; `revision` is that at which it was found. */
+  /** The write took effect; `revision` is the one that the swap returned or that was read back. */
   | { readonly kind: 'done'; readonly revision: number }
-  /** The service refused it and no try can take effect any more. */
+  /** The swap was refused and no try can take effect any more. */
   | { readonly kind: 'refused'; readonly reason: StoreRefusal }
   /**
-   * After an unanswered try another value is found. No try can take effect any more, but one may have
-   * done so before that value came, unless values keep a trace of those before them.
+   * Another value was read after an unanswered try. No try can take effect any more, but one may have
+   * taken effect before that value was written, unless values record the writes that precede them.
    */
   | { readonly kind: 'overtaken'; readonly entry: StoreEntry }
-  /** The deadline came. A try may have taken effect, or may yet. */
+  /** The deadline passed. A try may have taken effect, or may still do so. */
   | { readonly kind: 'open' };
 
-const PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
-/** Swaps and settles what was not answered. */
+/** Swaps the value, and resolves unanswered tries by reading back and swapping again. */
 export async function swapSettled(options: SettledSwapOptions): Promise<SettledSwap> {
   const { port, timers, key, expected, value, carriesWrite, callTimeout } = options;
   const deadline = timers.now() + options.timeLeft;
-  let unanswered = 0;
+  let unansweredSwaps = 0;
   let lastRefusal: StoreRefusal | null = null;
 
   function getCallOptions(): { readonly timeout: Millis } {
@@ -55,7 +55,7 @@
     });
   }
 
-  /** What the stored value tells of the tries so far; null if it tells nothing. */
+  /** Determines the outcome of the tries so far from the stored value; null if it is still open. */
   async function readBack(): Promise<SettledSwap | null> {
     const read = await port.get(key, getCallOptions());
     if (read.kind !== 'done') {
@@ -74,21 +74,21 @@
       return { kind: 'done', revision: outcome.value };
     }
     if (outcome.kind === 'unknown') {
-      unanswered += 1;
-    } else if (unanswered === 0 && !('retryAfter' in outcome.reason)) {
+      unansweredSwaps += 1;
+    } else if (unansweredSwaps === 0 && !('retryAfter' in outcome.reason)) {
       return { kind: 'refused', reason: outcome.reason };
     } else {
       lastRefusal = outcome.reason;
     }
-    const told = unanswered > 0 ? await readBack() : null;
-    if (told) {
-      return told;
+    const readResult = unansweredSwaps > 0 ? await readBack() : null;
+    if (readResult) {
+      return readResult;
     }
-    const asked =
+    const retryAfter =
       outcome.kind === 'refused' && 'retryAfter' in outcome.reason ? outcome.reason.retryAfter : 0;
-    await sleep(Math.max(asked, PAUSE_MS));
+    await sleep(Math.max(retryAfter, RETRY_DELAY_MS));
   }
-  return unanswered === 0 && lastRefusal
+  return unansweredSwaps === 0 && lastRefusal
     ? { kind: 'refused', reason: lastRefusal }
     : { kind: 'open' };
 }
--- a/packages/store/src/StoreWatch.ts
+++ b/packages/store/src/StoreWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Follows a key by long watches. Repeated events are dropped; a missed one is healed when the watch
- * runs out and its answer carries the value as it is; a service that does not answer is asked again at
- * growing, jittered pauses, so that a fleet does not come back all at once.
+ * Watches a key by long polling. Repeated events are dropped. A missed event is recovered when the watch
+ * times out, since its answer has the current value. Failed calls are retried with exponential, jittered
+ * backoff, so that the instances do not all reconnect at once.
  */
 import { jitter, type Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -13,40 +13,40 @@
   readonly timers: TimerService;
   readonly random: Random;
   readonly key: string;
-  /** Revision that is known already; -1 to be told the value as it is first. */
+  /** Revision that the caller already has; -1 to get the current value first. */
   readonly known: number;
-  /** How long the service holds a watch on which nothing happens. */
+  /** How long the service holds a watch without changes. */
   readonly waitTime: Millis;
-  /** Hears each value whose revision differs from the one before; values in between may be missed. */
+  /** Called with each entry whose revision differs from the previous one; values in between may be skipped. */
   readonly onEntry: (entry: StoreEntry) => void;
 }
 
-const FIRST_PAUSE_MS = 200;
-const LONGEST_PAUSE_MS = 10_000;
+const INITIAL_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 10_000;
 const JITTER_SHARE = 0.5;
 
-/** Starts to watch; the returned function ends it. */
+/** Starts the watch; the returned function stops it. */
 export function registerWatch(options: WatchOptions): Unregister {
   const { port, timers, random, key, waitTime } = options;
   let { known } = options;
   let failures = 0;
   let stopped = false;
 
-  function pauseAndWatch(pause: Millis): void {
-    timers.registerTimeout(jitter(random, pause, JITTER_SHARE), () => {
+  function scheduleWatch(delay: Millis): void {
+    timers.registerTimeout(jitter(random, delay, JITTER_SHARE), () => {
       void watchOnce();
     });
   }
 
-  function handle(outcome: StoreOutcome<StoreEntry>, startedAt: Millis): void {
+  function handleOutcome(outcome: StoreOutcome<StoreEntry>, startedAt: Millis): void {
     if (outcome.kind !== 'done') {
-      const asked =
+      const retryAfter =
         outcome.kind === 'refused' && 'retryAfter' in outcome.reason
           ? outcome.reason.retryAfter
           : 0;
-      const pause = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(failures, 16));
+      const backoff = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(failures, 16));
       failures += 1;
-      pauseAndWatch(Math.max(asked / (1 - JITTER_SHARE), pause));
+      scheduleWatch(Math.max(retryAfter / (1 - JITTER_SHARE), backoff));
       return;
     }
     failures = 0;
@@ -55,9 +55,9 @@
     if (isNew) {
       options.onEntry(outcome.value);
     }
-    // An unchanged value that comes early is a repeated event; without a pause it would be a loop.
+    // An unchanged value before the timeout is a repeated event; without a pause this would be a busy loop.
     const isEarly = timers.now() - startedAt < waitTime / 2;
-    pauseAndWatch(!isNew && isEarly ? FIRST_PAUSE_MS : 0);
+    scheduleWatch(!isNew && isEarly ? INITIAL_BACKOFF_MS : 0);
   }
 
   async function watchOnce(): Promise<void> {
@@ -67,7 +67,7 @@
     const startedAt = timers.now();
     const outcome = await port.watch(key, known, { timeout: waitTime });
     if (!stopped) {
-      handle(outcome, startedAt);
+      handleOutcome(outcome, startedAt);
     }
   }
 
--- a/packages/store/src/__tests__/unit/StoreClient.test.ts
+++ b/packages/store/src/__tests__/unit/StoreClient.test.ts
@@ -4,13 +4,13 @@
 import { createFakeStore, type FakeStore } from '../../FakeStore.js';
 import { createStoreClient, type StoreClient } from '../../StoreClient.js';
 
-interface Stand {
+interface TestBed {
   readonly timers: VirtualTimers;
   readonly platform: FakeStore;
   readonly client: StoreClient;
 }
 
-function createStand(instances = 6): Stand {
+function createBed(instances = 6): TestBed {
   const timers = createVirtualTimers();
   const platform = createFakeStore({ timers, random: createRandom(1) });
   const client = createStoreClient({
@@ -23,10 +23,10 @@
 }
 
 describe('StoreClient', () => {
-  it('tells done, refused and unknown apart', async () => {
-    // Symptom: a write reported as failed is found in the store. Sequence: the service applies the
-    // swap, its answer is lost. Cause: no answer is not a refusal; the outcome must say unknown.
-    const { timers, platform, client } = createStand();
+  it('distinguishes done, refused and unknown outcomes', async () => {
+    // Guards against a write that is reported as failed although it is stored: the service applies the
+    // swap and its answer is lost. A missing answer is not a refusal; the outcome must be unknown.
+    const { timers, platform, client } = createBed();
     const port = client.forUse('claims');
     platform.injectFault('a', 'swap', { kind: 'lost-answer' });
     const outcomes = Promise.all([
@@ -43,13 +43,13 @@
     expect(platform.store.read('k')).to.deep.equal({ revision: 1, value: 'first' });
   });
 
-  it('does not hammer a service in outage and notices when it is back', async () => {
-    // Symptom: the service comes back and falls over under the waiting fleet. Sequence: outage, each
-    // instance repeats its calls at once. Cause: nothing held the calls back.
-    const { timers, platform, client } = createStand();
+  it('limits calls to a service in outage and closes the circuit when it answers again', async () => {
+    // Guards against overloading a service that recovers from an outage: without a circuit breaker each
+    // instance repeats its calls at once, and the service fails again under the load of the fleet.
+    const { timers, platform, client } = createBed();
     const port = client.forUse('claims');
     platform.setFaults({ outage: true });
-    const undo = timers.registerInterval(10, () => {
+    const stopCalls = timers.registerInterval(10, () => {
       void port.get('k', { timeout: 50 });
     });
     await timers.advanceToAsync(60_000);
@@ -58,24 +58,24 @@
     expect(calls).to.be.below(45);
     platform.setFaults({ outage: false });
     await timers.advanceToAsync(66_000);
-    undo();
+    stopCalls();
     expect(client.isCircuitOpen()).to.equal(false);
   });
 
-  it('keeps the fleet within the rates and claims before housekeeping', async () => {
-    // Symptom: keyed requests wait during a clean-up. Sequence: housekeeping spends the bucket, then a
-    // claim wants to write. Cause: one bucket without a reserve for the urgent use.
-    const { timers, platform, client } = createStand(100);
+  it('keeps the fleet within its rates and gives claims priority over housekeeping', async () => {
+    // Guards against keyed requests waiting during a clean-up: with one bucket and no reserve for uses of
+    // higher priority, housekeeping takes all tokens before a claim needs to write.
+    const { timers, platform, client } = createBed(100);
     const housekeeping = client.forUse('housekeeping');
-    const undo = timers.registerInterval(5, () => {
+    const stopCalls = timers.registerInterval(5, () => {
       void housekeeping.swap('h', 0, 'x', { timeout: 20 });
     });
     await timers.advanceToAsync(10_000);
     const claim = client.forUse('claims').swap('c', 0, 'x', { timeout: 20 });
     await timers.advanceToAsync(10_050);
-    undo();
+    stopCalls();
     expect((await claim).kind).to.equal('done');
-    // One write a second is this instance's part; 4 may be saved up before. The claim has its own.
+    // This instance's share is one write per second, with a burst of 4. Claims have their own bucket.
     expect(platform.countCalls().writes).to.be.within(10, 15);
   });
 });
--- a/packages/store/src/__tests__/unit/StoreHelpers.test.ts
+++ b/packages/store/src/__tests__/unit/StoreHelpers.test.ts
@@ -9,13 +9,13 @@
 const TTL = 10_000;
 const MARGIN = 4000;
 
-function createStand(): { timers: VirtualTimers; platform: FakeStore } {
+function createBed(): { timers: VirtualTimers; platform: FakeStore } {
   const timers = createVirtualTimers();
   return { timers, platform: createFakeStore({ timers, random: createRandom(1) }) };
 }
 
 function startSwap(
-  { timers, platform }: ReturnType<typeof createStand>,
+  { timers, platform }: ReturnType<typeof createBed>,
   timeLeft: number,
 ): Promise<SettledSwap> {
   return swapSettled({
@@ -31,7 +31,7 @@
 }
 
 function startHolder(
-  { timers, platform }: ReturnType<typeof createStand>,
+  { timers, platform }: ReturnType<typeof createBed>,
   name: string,
   told: string[],
 ): LeaseHolder {
@@ -49,69 +49,70 @@
 }
 
 describe('swapSettled', () => {
-  it('finds a write whose answer was lost, and makes it once', async () => {
-    // Symptom: a submission is stored, its caller is told that it failed. Sequence: the swap takes
-    // effect, its answer is lost. Cause: no read-back of the write's id.
-    const stand = createStand();
-    stand.platform.injectFault('a', 'swap', { kind: 'lost-answer' });
-    const settled = startSwap(stand, 5000);
-    await stand.timers.advanceToAsync(5000);
+  it('confirms a write whose answer was lost and applies it once', async () => {
+    // Guards against reporting a stored submission as failed: the swap takes effect and its answer is
+    // lost, so the stored value must be read back and checked for the write's id.
+    const bed = createBed();
+    bed.platform.injectFault('a', 'swap', { kind: 'lost-answer' });
+    const settled = startSwap(bed, 5000);
+    await bed.timers.advanceToAsync(5000);
     expect(await settled).to.deep.equal({ kind: 'done', revision: 1 });
   });
 
-  it('does not take an unchanged value for proof that a write failed', async () => {
-    // Symptom: "not stored" is said of a write that appears later. Sequence: the write is late, the
-    // value is read and is unchanged, then the write lands. Cause: a look taken for a fence.
-    const stand = createStand();
-    stand.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
-    stand.platform.injectFault('a', 'swap', { kind: 'lost-call' });
-    const short = startSwap(stand, 150);
-    await stand.timers.advanceToAsync(300);
+  it('does not treat an unchanged value as proof that a write failed', async () => {
+    // Guards against reporting "not stored" for a write that takes effect later: the write is delayed, the
+    // value is read unchanged, then the write arrives. A read does not fence off writes in flight.
+    const bed = createBed();
+    bed.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
+    bed.platform.injectFault('a', 'swap', { kind: 'lost-call' });
+    const short = startSwap(bed, 150);
+    await bed.timers.advanceToAsync(300);
     expect(await short).to.deep.equal({ kind: 'open' });
-    await stand.timers.advanceToAsync(1000);
-    expect(stand.platform.store.read('k').value).to.equal('id-1');
+    await bed.timers.advanceToAsync(1000);
+    expect(bed.platform.store.read('k').value).to.equal('id-1');
   });
 
-  it('closes out a late write by a success from the same revision', async () => {
-    const stand = createStand();
-    stand.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
-    const settled = startSwap(stand, 5000);
-    await stand.timers.advanceToAsync(5000);
+  it('excludes a late write by a successful swap from the same revision', async () => {
+    const bed = createBed();
+    bed.platform.injectFault('a', 'swap', { kind: 'late', delay: 700 });
+    const settled = startSwap(bed, 5000);
+    await bed.timers.advanceToAsync(5000);
     expect(await settled).to.deep.equal({ kind: 'done', revision: 1 });
-    expect(stand.platform.store.read('k')).to.deep.equal({ revision: 1, value: 'id-1' });
+    expect(bed.platform.store.read('k')).to.deep.equal({ revision: 1, value: 'id-1' });
   });
 });
 
 describe('createLeaseHolder', () => {
-  it('stops relying on the lease before another can have it', async () => {
-    // Symptom: two holders act. Sequence: the first is cut off from the service, its lease lapses, the
-    // second acquires it. Cause: a holder that counts from the answer, or up to the very end.
-    const stand = createStand();
+  it('stops relying on the lease before another holder can acquire it', async () => {
+    // Guards against two holders acting at once: the first is cut off from the service, its lease lapses
+    // and the second acquires it. This happens if the first measures its lease from the answer instead
+    // of from the request, or relies on it up to the end without a margin.
+    const bed = createBed();
     const told: string[] = [];
-    const first = startHolder(stand, 'a', told);
-    await stand.timers.advanceToAsync(1000);
-    const second = startHolder(stand, 'bb', told);
-    stand.platform.setFaults({ outage: true }, 'a');
+    const first = startHolder(bed, 'a', told);
+    await bed.timers.advanceToAsync(1000);
+    const second = startHolder(bed, 'bb', told);
+    bed.platform.setFaults({ outage: true }, 'a');
     for (let now = 1000; now < 40_000; now += 50) {
-      await stand.timers.advanceToAsync(now);
+      await bed.timers.advanceToAsync(now);
       expect(first.getLease() !== null && second.getLease() !== null).to.equal(false);
     }
     expect(told).to.deep.equal(['a acquired 1', 'a lost', 'bb acquired 2']);
     second.stop();
-    stand.platform.setFaults({ outage: false }, 'a');
-    await stand.timers.advanceToAsync(60_000);
+    bed.platform.setFaults({ outage: false }, 'a');
+    await bed.timers.advanceToAsync(60_000);
     expect(told.at(-1)).to.equal('a acquired 3');
   });
 
-  it('keeps the lease over lost answers, and tells a holder that was paused no', async () => {
-    // Symptom: a holder that was paused acts once more. Sequence: no timer runs while it is paused; on
-    // waking it acts before its timers fire. Cause: a flag in place of a look at the clock.
-    const stand = createStand();
+  it('keeps the lease when answers are lost and returns null after a process pause', async () => {
+    // Guards against a holder that acts on a lapsed lease after a process pause: no timer runs during the
+    // pause, and the holder acts before its timers fire. It must check the clock and not a flag.
+    const bed = createBed();
     const told: string[] = [];
     let now = 0;
     const holder = createLeaseHolder({
-      port: stand.platform.connect('a'),
-      timers: { ...stand.timers, now: () => Math.max(now, stand.timers.now()) },
+      port: bed.platform.connect('a'),
+      timers: { ...bed.timers, now: () => Math.max(now, bed.timers.now()) },
       random: createRandom(3),
       key: 'lease',
       holder: 'a',
@@ -120,8 +121,8 @@
       onAcquired: () => told.push('acquired'),
       onLost: () => told.push('lost'),
     });
-    stand.platform.setFaults({ lostAnswers: 0.2 });
-    await stand.timers.advanceToAsync(60_000);
+    bed.platform.setFaults({ lostAnswers: 0.2 });
+    await bed.timers.advanceToAsync(60_000);
     expect(told).to.deep.equal(['acquired']);
     expect(holder.getLease()).to.not.equal(null);
     now = 70_000;
@@ -130,13 +131,13 @@
 });
 
 describe('registerWatch', () => {
-  it('comes to the last value over missed and repeated events and an outage, without a loop', async () => {
-    // Symptom: an instance stays on an old value, or hammers the service. Sequence: the event of a change
-    // is missed, another comes again and again, the service goes away. Cause: trust in each event.
-    const { timers, platform } = createStand();
+  it('reaches the last value despite missed and repeated events and an outage, without a busy loop', async () => {
+    // Guards against an instance that keeps a stale value or floods the service with calls: the event of a
+    // change is missed, another is repeated, and the service fails. Events must not be taken as reliable.
+    const { timers, platform } = createBed();
     const seen: number[] = [];
     platform.setFaults({ missedWatches: 0.5, repeatedWatches: 0.5 });
-    const undo = registerWatch({
+    const stopWatch = registerWatch({
       port: platform.connect('a'),
       timers,
       random: createRandom(4),
@@ -154,7 +155,7 @@
     await timers.advanceToAsync(timers.now() + 60_000);
     platform.setFaults({ outage: false, missedWatches: 0, repeatedWatches: 0 });
     await timers.advanceToAsync(timers.now() + 20_000);
-    undo();
+    stopWatch();
     expect(seen.at(-1)).to.equal(21);
     expect(seen).to.deep.equal([...new Set(seen)].sort((a, b) => a - b));
     expect(platform.countCalls().watches).to.be.below(120);
--- a/packages/store/src/__tests__/unit/StoreRangeWatch.test.ts
+++ b/packages/store/src/__tests__/unit/StoreRangeWatch.test.ts
@@ -8,8 +8,8 @@
   const timers = createVirtualTimers();
   const store = createFakeRangeStore(timers);
   const known = new Map<string, string>();
-  const heard: string[] = [];
-  const follow = (gatherTime = 120) =>
+  const notifications: string[] = [];
+  const startWatch = (gatherTime = 120) =>
     registerRangeWatch({
       port: store,
       timers,
@@ -20,7 +20,7 @@
       getGatherTime: () => gatherTime,
       listener: {
         onSnapshot: (items) => {
-          heard.push('snapshot');
+          notifications.push('snapshot');
           known.clear();
           items.forEach(({ key, value }) => known.set(key, value));
         },
@@ -31,19 +31,19 @@
             known.delete(event.key);
           }
         },
-        onLost: () => heard.push('lost'),
-        onRegained: () => heard.push('regained'),
+        onLost: () => notifications.push('lost'),
+        onRegained: () => notifications.push('regained'),
       },
     });
-  return { timers, store, known, heard, follow };
+  return { timers, store, known, notifications, startWatch };
 }
 
 describe('StoreRangeWatch', () => {
-  it('reads all pages of a range and then hears its changes, and no others', async () => {
-    const { timers, store, known, follow } = createBed();
+  it('reads all pages of a range and then receives only changes of that range', async () => {
+    const { timers, store, known, startWatch } = createBed();
     Array.from({ length: 25 }, (_, i) => store.put(`a/${i}`, `${i}`));
     store.put('b/1', 'x');
-    const stop = follow();
+    const stop = startWatch();
     await timers.advanceToAsync(50);
     expect(known.size).to.equal(25);
     store.put('a/0', 'new');
@@ -56,9 +56,9 @@
     stop();
   });
 
-  it('takes what comes close together with one call', async () => {
-    const { timers, store, known, follow } = createBed();
-    const stop = follow();
+  it('batches changes that are close together', async () => {
+    const { timers, store, known, startWatch } = createBed();
+    const stop = startWatch();
     await timers.advanceToAsync(50);
     const before = store.countCalls();
     for (let i = 0; i < 20; i++) {
@@ -71,13 +71,12 @@
     stop();
   });
 
-  it('asks less often where changes are gathered for longer, and still hears one within a second', async () => {
-    // Symptom: calls to the store cost a large fleet a tenth of what it earns.
-    // Sequence: engines and instances come one after the other; each is a call of every instance.
-    // Cause: each change is taken with a call of its own.
+  it('makes fewer calls with a longer gather time and still delivers a change within a second', async () => {
+    // Guards against store calls that cost a large fleet a tenth of its earnings: engines and instances
+    // join one after the other, and every instance fetches each change with a call of its own.
     const calls = [120, 450].map(async (gatherTime) => {
-      const { timers, store, known, follow } = createBed();
-      const stop = follow(gatherTime);
+      const { timers, store, known, startWatch } = createBed();
+      const stop = startWatch(gatherTime);
       await timers.advanceToAsync(50);
       const before = store.countCalls();
       for (let i = 0; i < 100; i++) {
@@ -94,13 +93,12 @@
     expect(long).to.be.at.most((short ?? 0) / 2);
   });
 
-  it('reads the whole range again when its history is gone', async () => {
-    // Symptom: an instance serves a removed key for ever.
-    // Sequence: the store drops its history while a change was not yet heard.
-    // Cause: the watch is continued from a revision that is no longer kept.
-    const { timers, store, known, heard, follow } = createBed();
+  it('reads the whole range again after compaction', async () => {
+    // Guards against an instance that keeps a removed key forever: the store compacts its history before
+    // the change is delivered, and the watch continues from a revision that is no longer kept.
+    const { timers, store, known, notifications, startWatch } = createBed();
     store.put('a/1', 'old');
-    const stop = follow();
+    const stop = startWatch();
     await timers.advanceToAsync(50);
     store.setAvailable(false);
     await timers.advanceToAsync(1500);
@@ -110,21 +108,21 @@
     store.setAvailable(true);
     await timers.advanceToAsync(3500);
     expect([...known.keys()]).to.deep.equal(['a/2']);
-    expect(heard.filter((what) => what === 'snapshot')).to.have.length(2);
+    expect(notifications.filter((what) => what === 'snapshot')).to.have.length(2);
     stop();
   });
 
-  it('says once that the store is lost and once that it is back, and keeps what it knew', async () => {
-    const { timers, store, known, heard, follow } = createBed();
+  it('reports the loss and the return of the store once each and keeps the last known values', async () => {
+    const { timers, store, known, notifications, startWatch } = createBed();
     store.put('a/1', 'x');
-    const stop = follow();
+    const stop = startWatch();
     await timers.advanceToAsync(50);
     store.setAvailable(false);
     await timers.advanceToAsync(5000);
     expect(known.get('a/1')).to.equal('x');
     store.setAvailable(true);
     await timers.advanceToAsync(6000);
-    expect(heard).to.deep.equal(['snapshot', 'lost', 'regained']);
+    expect(notifications).to.deep.equal(['snapshot', 'lost', 'regained']);
     stop();
   });
 });
