--- a/packages/bench/src/ConfigFleet.ts
+++ b/packages/bench/src/ConfigFleet.ts
@@ -13,7 +13,7 @@
 import {
   MANIFEST_BUDGET_RATES,
   MANIFEST_CIRCUIT_SETTINGS,
-  MANIFEST_SHARERS,
+  MANIFEST_CONCURRENT_CLIENTS,
 } from '@skylarksail/manifest/ManifestRates';
 import { parseRoot, ROOT_KEY } from '@skylarksail/manifest/ManifestRoot';
 import type { SubmitOutcome } from '@skylarksail/manifest/ManifestStore';
@@ -141,7 +141,7 @@
     port,
     timers,
     random,
-    countInstances: () => MANIFEST_SHARERS,
+    countInstances: () => MANIFEST_CONCURRENT_CLIENTS,
     rates: MANIFEST_BUDGET_RATES,
     circuit: MANIFEST_CIRCUIT_SETTINGS,
   });
@@ -221,12 +221,12 @@
   }
   if (change % CUT_EVERY === 0) {
     const domain = `d${random.nextInt(run.shape.domains)}`;
-    fleet.setCut(domain, true);
+    fleet.setPartitioned(domain, true);
     const returns = run.members
       .filter((id) => id.startsWith(`${domain}-`))
       .map((id) => leave(run, id, 'cut'));
     timers.registerTimeout(OUTAGE, () => {
-      fleet.setCut(domain, false);
+      fleet.setPartitioned(domain, false);
       returns.forEach((comeBack) => comeBack());
     });
   }
--- a/packages/bench/src/ControlBench.ts
+++ b/packages/bench/src/ControlBench.ts
@@ -122,7 +122,7 @@
     ...(options.loss === undefined ? {} : { loss: options.loss }),
   });
   control.fleet.advance(START_TIME);
-  control.fleet.settle();
+  control.fleet.convergeViews();
   control.fleet.advance(WARM_UP);
   const costs = measureCosts(control, nodes, measureTime);
   const heapPerNode = (measureHeap() - heapBefore) / nodes;
--- a/packages/bench/src/ControlFleet.ts
+++ b/packages/bench/src/ControlFleet.ts
@@ -10,8 +10,8 @@
 import type { Duties } from '@skylarksail/membership/MembershipDuties';
 import { createDuties } from '@skylarksail/membership/MembershipDuties';
 import { MemberChangeKind } from '@skylarksail/membership/MembershipEffects';
-import type { LoadSpread, LoadSpreadOptions } from '@skylarksail/membership/MembershipLoad';
-import { createLoadSpread, LOAD_POLL_PERIOD } from '@skylarksail/membership/MembershipLoad';
+import type { LoadGossip, LoadGossipOptions } from '@skylarksail/membership/MembershipLoad';
+import { createLoadGossip, LOAD_POLL_PERIOD } from '@skylarksail/membership/MembershipLoad';
 import type { VirtualFleet, VirtualInstance } from '@skylarksail/membership/VirtualFleet';
 import { createVirtualFleet } from '@skylarksail/membership/VirtualFleet';
 
@@ -21,7 +21,7 @@
   readonly enginesPerInstance: number;
   readonly pollPeriod?: Millis;
   readonly loss?: number;
-  readonly load?: LoadSpreadOptions;
+  readonly load?: LoadGossipOptions;
 }
 
 /** An engine of the bench: its load drifts as requests come and go. */
@@ -34,7 +34,7 @@
 interface ControlInstance {
   readonly instance: VirtualInstance;
   readonly duties: Duties;
-  readonly loads: LoadSpread;
+  readonly loads: LoadGossip;
 }
 
 /** A member that one instance declared dead, or heard to be dead. */
@@ -76,7 +76,7 @@
   function startInstance(instance: VirtualInstance): void {
     const { listed, membership, timers } = instance;
     const duties = createDuties(listed, membership);
-    const loads = createLoadSpread(options.load);
+    const loads = createLoadGossip(options.load);
     const own = engines.get(listed.domain) ?? new Map<EngineId, WanderingEngine>();
     membership.registerTopic(loads.topic);
     duties.setDuties([...own.keys()]);
--- a/packages/bench/src/ControlSuspicion.ts
+++ b/packages/bench/src/ControlSuspicion.ts
@@ -80,7 +80,7 @@
   }
   const fleet = createVirtualFleet({ seed: options.seed, domainSizes: [members], onChange });
   fleet.advance(START_TIME);
-  fleet.settle();
+  fleet.convergeViews();
   fleet.advance(SETTLE_TIME);
   isCounted = true;
   fleet.setLoss(loss);
--- a/packages/bench/src/DemoMain.ts
+++ b/packages/bench/src/DemoMain.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
 import type { LayerPass, ServiceEffect } from '@skylarksail/stand-ins/StandInLedger';
-import { findLayerFaults } from '@skylarksail/stand-ins/StandInLedger';
+import { findLayerViolations } from '@skylarksail/stand-ins/StandInLedger';
 import type { CallerRecord, CompletionCall } from './DemoCallers.js';
 import { callService, sendCompletion, streamCompletion } from './DemoCallers.js';
 import type { Stack, StackServer } from './StackLauncher.js';
@@ -196,7 +196,7 @@
   const layerFaults = records
     .filter(({ outcome, tokens }) => outcome === 'answered' && tokens > 0)
     .flatMap(({ requestId, tokens }) =>
-      findLayerFaults(
+      findLayerViolations(
         passes.filter(({ request: id }) => id === requestId),
         DEFAULT_STACK_SIZE.layers,
         tokens,
--- a/packages/bench/src/SoakJudge.ts
+++ b/packages/bench/src/SoakJudge.ts
@@ -1,7 +1,7 @@
 /** Judges a soak by what callers, services, engines and the machine saw. Pure. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { LayerPass, ServiceEffect } from '@skylarksail/stand-ins/StandInLedger';
-import { findLayerFaults } from '@skylarksail/stand-ins/StandInLedger';
+import { findLayerViolations } from '@skylarksail/stand-ins/StandInLedger';
 
 /** How a request ended for its caller. */
 export const SoakOutcome = {
@@ -138,7 +138,7 @@
     .filter(({ outcome, tokens }) => outcome === SoakOutcome.Answered && tokens > 0)
     .flatMap(({ requestId, tokens }) => {
       const own = passes.filter(({ request }) => request === requestId);
-      const [fault] = findLayerFaults(own, layers, tokens);
+      const [fault] = findLayerViolations(own, layers, tokens);
       return fault === undefined ? [] : [`layers of ${requestId}: ${fault}`];
     });
 }
--- a/packages/bench/src/ThroughputBench.ts
+++ b/packages/bench/src/ThroughputBench.ts
@@ -183,7 +183,7 @@
   timers.advanceTo(WARM_UP_MS);
   meter.start();
   timers.advanceTo(WARM_UP_MS + measuredMs);
-  return { run: meter.read(measuredMs), faults: fleet.readLedger().layerFaults };
+  return { run: meter.read(measuredMs), faults: fleet.readLedger().layerOrderViolations };
 }
 
 /** Each instance hears of each engine at its own times, later than the engine spoke. */
--- a/packages/cli/src/CliClient.ts
+++ b/packages/cli/src/CliClient.ts
@@ -30,7 +30,7 @@
  * Sends a call to the first instance that answers. A call that may have taken effect can be sent again
  * to another instance: submissions carry an id, so that the second one gets the first one's result.
  */
-export async function callServers(target: CliTarget, call: CliCall): Promise<CliReply> {
+export async function callAnyServer(target: CliTarget, call: CliCall): Promise<CliReply> {
   const failures: string[] = [];
   for (const server of target.servers) {
     try {
--- a/packages/cli/src/CliLogs.ts
+++ b/packages/cli/src/CliLogs.ts
@@ -15,7 +15,7 @@
 }
 
 /** What saved logs tell of a request. */
-export interface LogStory {
+export interface RequestLog {
   readonly lines: readonly LogDecision[];
   /** Attempts of which no line says how they ended, each as instance and request. */
   readonly unended: readonly string[];
@@ -28,7 +28,7 @@
 const DROPPED = 'log lines dropped';
 
 /** Reads the story of the request whose id the caller sent from the text of logs. */
-export function readLogStory(texts: readonly string[], id: string): LogStory {
+export function readRequestLog(texts: readonly string[], id: string): RequestLog {
   const parsed = texts.flatMap(parseLog);
   const lines = parsed
     .filter((line): line is LogDecision => isAbout(line, id))
@@ -44,14 +44,14 @@
 
 /** Prints what the files tell of a request; throws if they tell nothing. */
 export function explainFromLogs(context: CliContext, id: string, files: readonly string[]): void {
-  const story = readLogStory(files.map(readLog), id);
+  const story = readRequestLog(files.map(readLog), id);
   if (story.lines.length === 0) {
     throw createCliError(ExitCode.Failed, `no line of these logs concerns ${id}`);
   }
   printResult(context.output, context.isJson(), story, () => formatStory(story));
 }
 
-function formatStory({ lines, unended, dropped }: LogStory): readonly string[] {
+function formatStory({ lines, unended, dropped }: RequestLog): readonly string[] {
   const start = lines[0]?.time ?? 0;
   return [
     ...lines.map(({ time, instance, decision, request, level, msg, at, ...rest }) => {
--- a/packages/cli/src/CliManifest.ts
+++ b/packages/cli/src/CliManifest.ts
@@ -7,7 +7,7 @@
 import type { ManifestChange } from '@skylarksail/manifest/ManifestDiff';
 import { formatDiff } from '@skylarksail/manifest/ManifestDiff';
 import type { CliTarget } from './CliClient.js';
-import { callServers, expectOk } from './CliClient.js';
+import { callAnyServer, expectOk } from './CliClient.js';
 import { ExitCode, createCliError } from './CliErrors.js';
 import type { CliOutput } from './CliOutput.js';
 import { formatTable, printResult } from './CliOutput.js';
@@ -73,7 +73,7 @@
   path: string,
   options: { readonly id?: string; readonly expect?: number; readonly wait?: boolean },
 ): Promise<void> {
-  const reply = await callServers(context.target(), {
+  const reply = await callAnyServer(context.target(), {
     method: 'POST',
     path: '/v1/manifest',
     body: {
@@ -111,7 +111,7 @@
   const giveUpAt = performance.now() + options.timeout * 1000;
   for (;;) {
     const report = expectOk(
-      await callServers(context.target(), {
+      await callAnyServer(context.target(), {
         method: 'GET',
         path: `/v1/manifest/in-force?revision=${revision}`,
       }),
@@ -154,7 +154,7 @@
 
 export async function showManifest(context: CliContext): Promise<void> {
   const shown = expectOk(
-    await callServers(context.target(), { method: 'GET', path: '/v1/manifest' }),
+    await callAnyServer(context.target(), { method: 'GET', path: '/v1/manifest' }),
   ) as { revision: number; manifest: unknown };
   printResult(context.output, context.isJson(), shown, () => [
     JSON.stringify(shown.manifest, null, 2),
@@ -162,7 +162,7 @@
 }
 
 export async function diffManifest(context: CliContext, path: string): Promise<void> {
-  const reply = await callServers(context.target(), {
+  const reply = await callAnyServer(context.target(), {
     method: 'POST',
     path: '/v1/manifest/diff',
     body: { manifest: readManifestFile(path) },
@@ -178,7 +178,7 @@
 
 export async function showHistory(context: CliContext): Promise<void> {
   const { revisions } = expectOk(
-    await callServers(context.target(), { method: 'GET', path: '/v1/manifest/history' }),
+    await callAnyServer(context.target(), { method: 'GET', path: '/v1/manifest/history' }),
   ) as { revisions: { revision: number; submission: string }[] };
   printResult(context.output, context.isJson(), { revisions }, () =>
     formatTable([
--- a/packages/cli/src/__tests__/unit/CliLogs.test.ts
+++ b/packages/cli/src/__tests__/unit/CliLogs.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
-import { readLogStory } from '../../CliLogs.js';
+import { readRequestLog } from '../../CliLogs.js';
 
 const line = (fields: Readonly<Record<string, unknown>>): string =>
   JSON.stringify({ level: 30, instance: 'one', msg: 'decision', ...fields });
 
 describe('CliLogs', () => {
   it('tells a request’s story over several instances in order, and nothing of others', () => {
-    const story = readLogStory(
+    const story = readRequestLog(
       [
         [
           `12.5 edge ${line({ time: 20, request: 'a/1', decision: 'refused', status: 503 })}`,
@@ -30,7 +30,7 @@
     // Symptom: an engineer takes the last line that is there for the request's end.
     // Sequence: a process ends in the middle of a request, or drops lines under load.
     // Cause: a story that does not say what it lacks.
-    const story = readLogStory(
+    const story = readRequestLog(
       [
         [
           line({ time: 1, request: 'a/1', decision: 'routed' }),
--- a/packages/daemon/src/DaemonEngines.ts
+++ b/packages/daemon/src/DaemonEngines.ts
@@ -11,7 +11,7 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, EngineId, HostPort, Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import { createCallTopic, createNoticeTopic } from '@skylarksail/membership/MembershipCalls';
-import { createLoadSpread } from '@skylarksail/membership/MembershipLoad';
+import { createLoadGossip } from '@skylarksail/membership/MembershipLoad';
 import type { InstanceRecord } from '@skylarksail/store/StorePort';
 import type { EngineStatus, FetchEngineStatus } from './DaemonEngineStatus.js';
 import { engineStatusSchema, hasReportChanged } from './DaemonEngineStatus.js';
@@ -81,7 +81,7 @@
   const records = new Map<string, InstanceRecord>();
   const reports = new Map<EngineId, KnownReport>();
   const pollsInFlight = new Set<EngineId>();
-  const loadSpread = createLoadSpread();
+  const loadSpread = createLoadGossip();
 
   function setRecords(list: readonly InstanceRecord[]): void {
     records.clear();
--- a/packages/daemon/src/DaemonFleet.ts
+++ b/packages/daemon/src/DaemonFleet.ts
@@ -126,7 +126,7 @@
     if (listed.kind !== 'done') {
       return false;
     }
-    membership.readList(listed.value.filter(({ role }) => role === InstanceRole.Entry));
+    membership.applyInstanceList(listed.value.filter(({ role }) => role === InstanceRole.Entry));
     listListeners.forEach((listener) => listener(listed.value));
     return true;
   }
--- a/packages/daemon/src/DaemonManifest.ts
+++ b/packages/daemon/src/DaemonManifest.ts
@@ -17,7 +17,7 @@
 import {
   MANIFEST_BUDGET_RATES,
   MANIFEST_CIRCUIT_SETTINGS,
-  MANIFEST_SHARERS,
+  MANIFEST_CONCURRENT_CLIENTS,
 } from '@skylarksail/manifest/ManifestRates';
 import { getKnownBy } from '@skylarksail/manifest/ManifestSpread';
 import { submitManifest } from '@skylarksail/manifest/ManifestStore';
@@ -80,7 +80,7 @@
     port: options.port,
     timers,
     random,
-    countInstances: () => MANIFEST_SHARERS,
+    countInstances: () => MANIFEST_CONCURRENT_CLIENTS,
     rates: MANIFEST_BUDGET_RATES,
     circuit: MANIFEST_CIRCUIT_SETTINGS,
   });
@@ -163,7 +163,7 @@
       return history.value;
     },
     queryInForce(revision) {
-      runner.askInForce(revision);
+      runner.queryInForce(revision);
       return listInForce(runner.getState(), revision, timers.now());
     },
     registerListener(listener) {
--- a/packages/manifest/src/FakeFleet.ts
+++ b/packages/manifest/src/FakeFleet.ts
@@ -41,7 +41,7 @@
   getRevision(id: InstanceId): number | null;
   getView(id: InstanceId): ManifestView | null;
   /** Cuts a domain off from the other domains and the platform, or joins it again. */
-  setCut(domain: DomainId, isCut: boolean): void;
+  setPartitioned(domain: DomainId, isCut: boolean): void;
   /** Share of messages between instances that get lost. */
   setLoss(share: number): void;
 }
@@ -135,7 +135,7 @@
       return runner ? (runner.getView()?.revision ?? 0) : null;
     },
     getView: (id) => runners.get(id)?.getView() ?? null,
-    setCut(domain, isCut) {
+    setPartitioned(domain, isCut) {
       if (isCut) {
         cutDomains.add(domain);
       } else {
--- a/packages/manifest/src/ManifestCalls.ts
+++ b/packages/manifest/src/ManifestCalls.ts
@@ -32,14 +32,14 @@
 export interface RepeatedOutcome<T> {
   readonly outcome: StoreOutcome<T>;
   /** True if the outcome of any of the calls was unknown, so that one may have taken effect. */
-  readonly isUnsure: boolean;
+  readonly mayHaveApplied: boolean;
 }
 
 /**
  * Makes a call again while its outcome is unknown or it is told to wait. Only for calls whose second
  * effect equals the first. Gives the last outcome there was by the deadline (a time of `timers`).
  */
-export async function callUntil<T>(
+export async function callWithRetry<T>(
   ctx: StoreContext,
   deadline: Millis,
   call: (options: CallOptions) => Promise<StoreOutcome<T>>,
@@ -50,12 +50,12 @@
   for (;;) {
     const timeLeft = deadline - ctx.timers.now();
     if (timeLeft <= 0) {
-      return { outcome: isUnsure ? { kind: 'unknown' } : outcome, isUnsure };
+      return { outcome: isUnsure ? { kind: 'unknown' } : outcome, mayHaveApplied: isUnsure };
     }
     outcome = await call({ timeout: Math.min(ctx.callTimeout, timeLeft) });
     const wait = getWait(outcome);
     if (wait === null) {
-      return { outcome, isUnsure };
+      return { outcome, mayHaveApplied: isUnsure };
     }
     isUnsure ||= outcome.kind === 'unknown';
     await sleep(ctx, Math.max(wait, jitter(ctx.random, backoff, BACKOFF_JITTER)));
--- a/packages/manifest/src/ManifestCheck.ts
+++ b/packages/manifest/src/ManifestCheck.ts
@@ -5,7 +5,7 @@
 import type { Manifest, ManifestTeam } from './ManifestSchema.js';
 import { manifestSchema, teamSchema } from './ManifestSchema.js';
 import type { SlicedWork } from './ManifestSlices.js';
-import { mapInSlices, runAtOnce } from './ManifestSlices.js';
+import { mapInSlices, runSynchronously } from './ManifestSlices.js';
 
 /** One thing that is wrong, with where it stands: `teams[3].models[0]`. */
 export interface ManifestFault {
@@ -18,7 +18,7 @@
 
 /** Gives the manifest with its defaults filled in, or everything that is wrong with it. */
 export function checkManifest(input: unknown): Result<Manifest, readonly ManifestFault[]> {
-  return runAtOnce(checkInSlices(input));
+  return runSynchronously(checkInSlices(input));
 }
 
 /** The same as work in slices. */
--- a/packages/manifest/src/ManifestChunks.ts
+++ b/packages/manifest/src/ManifestChunks.ts
@@ -10,7 +10,7 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { Manifest, ManifestModel, ManifestTeam } from './ManifestSchema.js';
 import type { SlicedWork } from './ManifestSlices.js';
-import { mapInSlices, runAtOnce } from './ManifestSlices.js';
+import { mapInSlices, runSynchronously } from './ManifestSlices.js';
 
 /** SHA-256 of a chunk's text, in base64url. */
 export type ChunkHash = string;
@@ -92,7 +92,7 @@
 }
 
 /** Whether a text is the one that the name stands for. */
-export function isChunkText(ref: ChunkRef, text: string): boolean {
+export function matchesChunkHash(ref: ChunkRef, text: string): boolean {
   return hashChunk(text) === getChunkHash(ref);
 }
 
@@ -102,7 +102,7 @@
   base: ManifestTree | null,
   generation: number,
 ): SplitManifest {
-  return runAtOnce(splitInSlices(manifest, base, generation));
+  return runSynchronously(splitInSlices(manifest, base, generation));
 }
 
 /** The same as work in slices. */
--- a/packages/manifest/src/ManifestConfirm.ts
+++ b/packages/manifest/src/ManifestConfirm.ts
@@ -64,7 +64,7 @@
 }
 
 /** Asks the collectors of every domain; the answers show in `listInForce` as they come. */
-export function askDigests(state: SpreadState, revision: number, at: Millis): SpreadStep {
+export function requestDigests(state: SpreadState, revision: number, at: Millis): SpreadStep {
   const { self, collectors } = state.plan;
   const effects = [...collectors].flatMap(([, ids]) =>
     ids
--- a/packages/manifest/src/ManifestFetch.ts
+++ b/packages/manifest/src/ManifestFetch.ts
@@ -2,13 +2,13 @@
 import { jitter, sampleElements } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { ChunkRef, GetChunk } from './ManifestChunks.js';
-import { isChunkText, listTreeChunks, walkTree } from './ManifestChunks.js';
+import { matchesChunkHash, listTreeChunks, walkTree } from './ManifestChunks.js';
 import type { ManifestRoot } from './ManifestRoot.js';
-import { getReaderDelay, selectListeners } from './ManifestPeers.js';
+import { getReaderRank, selectRecipients } from './ManifestPeers.js';
 import type {
   ChunkSource,
   RevisionDelta,
-  SpreadAsking,
+  RootRequest,
   SpreadContext,
   SpreadEffect,
   SpreadState,
@@ -18,8 +18,8 @@
 import {
   continueStep,
   createStep,
-  createTold,
-  drawAsk,
+  createToldEffect,
+  drawQueryId,
   getRevisionOf,
 } from './ManifestSpreadTypes.js';
 import type { HeldManifest } from './ManifestView.js';
@@ -54,7 +54,7 @@
     chunks: state.target?.chunks ?? new Map(),
     source,
     triedPeers: source.kind === 'peer' ? [source.id] : [],
-    answerBy: at + ctx.settings.readerTimeout * getReaderDelay(state.plan, root.revision),
+    answerBy: at + ctx.settings.readerTimeout * getReaderRank(state.plan, root.revision),
     backoff: ctx.settings.minBackoff,
   };
   return advanceTarget(ctx, { ...state, target }, at);
@@ -65,7 +65,7 @@
  * from the platform goes on beside it; were it waited for, one lost call would hold up an instance that
  * all its peers could help.
  */
-export function offerSource(
+export function adoptPeerSource(
   ctx: SpreadContext,
   state: SpreadState,
   peer: InstanceId,
@@ -81,30 +81,30 @@
 }
 
 /** A peer told of a higher revision: ask it, or remember it while another is being asked. */
-export function askTeller(
+export function requestRoot(
   ctx: SpreadContext,
   state: SpreadState,
   teller: InstanceId,
   revision: number,
   at: Millis,
 ): SpreadStep {
-  const { asking } = state;
+  const { rootRequest: asking } = state;
   if (asking && asking.revision >= revision) {
-    const tellers = [...asking.tellers.filter((id) => id !== teller), teller];
-    return createStep({ ...state, asking: { ...asking, tellers: tellers.slice(-MAX_TELLERS) } });
+    const tellers = [...asking.announcers.filter((id) => id !== teller), teller];
+    return createStep({ ...state, rootRequest: { ...asking, announcers: tellers.slice(-MAX_TELLERS) } });
   }
-  return askForRoot(ctx, state, teller, { revision, tellers: [], answerBy: at }, at);
+  return askForRoot(ctx, state, teller, { revision, announcers: [], answerBy: at }, at);
 }
 
 function askForRoot(
   ctx: SpreadContext,
   state: SpreadState,
   peer: InstanceId,
-  asking: SpreadAsking,
+  asking: RootRequest,
   at: Millis,
 ): SpreadStep {
   const answerBy = at + ctx.settings.peerTimeout;
-  return createStep({ ...state, asking: { ...asking, answerBy } }, [
+  return createStep({ ...state, rootRequest: { ...asking, answerBy } }, [
     {
       type: 'send',
       to: peer,
@@ -114,15 +114,15 @@
 }
 
 /** Asks the next peer that told of the revision if the one before has not answered. */
-export function askNextTeller(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  const { asking } = state;
+export function requestRootFromNext(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
+  const { rootRequest: asking } = state;
   if (!asking || at < asking.answerBy) {
     return createStep(state);
   }
-  const [next, ...tellers] = asking.tellers;
+  const [next, ...tellers] = asking.announcers;
   return next === undefined
-    ? createStep({ ...state, asking: null })
-    : askForRoot(ctx, state, next, { ...asking, tellers }, at);
+    ? createStep({ ...state, rootRequest: null })
+    : askForRoot(ctx, state, next, { ...asking, announcers: tellers }, at);
 }
 
 /** Takes the chunks whose text is the one that their name stands for. */
@@ -137,7 +137,7 @@
   const all = new Map(target.chunks);
   let dropped = 0;
   for (const [ref, text] of chunks) {
-    if (isChunkText(ref, text)) {
+    if (matchesChunkHash(ref, text)) {
       all.set(ref, text);
     } else {
       dropped += 1;
@@ -242,7 +242,7 @@
 }
 
 /** A peer holds `revision`: if that is too low for what was asked of it, another source is tried. */
-export function giveUpSource(
+export function dropStaleSource(
   ctx: SpreadContext,
   state: SpreadState,
   peer: InstanceId,
@@ -270,34 +270,34 @@
     refs: [...manifest.chunks.keys()].filter((ref) => !state.held?.chunks.has(ref)),
   };
   const deltas = [...state.deltas, delta].slice(-MAX_DELTAS);
-  const keeperAsk = drawAsk(ctx);
+  const keeperAsk = drawQueryId(ctx);
   const next: SpreadState = {
     ...state,
     held: manifest,
     heldSince: at,
-    keeperAsk,
+    keeperQueryId: keeperAsk,
     isKept: false,
-    asking: null,
+    rootRequest: null,
     target: null,
     deltas,
-    waiters: [],
+    pendingReplies: [],
   };
-  const replies = new Map(state.waiters.map(({ peer, ask }) => [peer, ask]));
+  const replies = new Map(state.pendingReplies.map(({ peer, ask }) => [peer, ask]));
   const listeners = new Set([
-    ...selectListeners(state.plan, revision),
+    ...selectRecipients(state.plan, revision),
     // Whoever is below an instance that just died, or lost a message, would else wait for gossip.
     ...sampleElements(ctx.random, listNearestPeers(state), RANDOM_LISTENERS),
     ...replies.keys(),
   ]);
   const effects = [...listeners].map((to) => {
     const ask = state.plan.keepers.includes(to) ? keeperAsk : 0;
-    return createTold(to, revision, { ask, reply: replies.get(to) ?? 0 });
+    return createToldEffect(to, revision, { ask, reply: replies.get(to) ?? 0 });
   });
   return createStep(next, effects);
 }
 
 /** Answers a peer that asked: the root, what it added to what the peer holds, and the chunks named. */
-export function answerAsked(
+export function answerRequest(
   ctx: SpreadContext,
   state: SpreadState,
   peer: InstanceId,
@@ -306,7 +306,7 @@
 ): SpreadStep {
   const { held } = state;
   if (!held) {
-    return createStep(state, [createTold(peer, 0)]);
+    return createStep(state, [createToldEffect(peer, 0)]);
   }
   const wanted = new Set([...refs, ...listDelta(state, have)]);
   const chunks: { ref: ChunkRef; text: string }[] = [];
@@ -345,8 +345,8 @@
   if (!isHigher && !state.target) {
     return createStep(state);
   }
-  const isAnswer = state.asking !== null && root.revision >= state.asking.revision;
-  const answered = isAnswer ? { ...state, asking: null } : state;
+  const isAnswer = state.rootRequest !== null && root.revision >= state.rootRequest.revision;
+  const answered = isAnswer ? { ...state, rootRequest: null } : state;
   const source: ChunkSource = { kind: 'peer', id: from };
   const base: SpreadTarget = isHigher
     ? {
--- a/packages/manifest/src/ManifestGarbage.ts
+++ b/packages/manifest/src/ManifestGarbage.ts
@@ -8,7 +8,7 @@
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import type { StoreContext } from './ManifestCalls.js';
-import { callUntil, mapBounded } from './ManifestCalls.js';
+import { callWithRetry, mapBounded } from './ManifestCalls.js';
 import type { ChunkRef } from './ManifestChunks.js';
 import { getChunkGeneration, listTreeChunks } from './ManifestChunks.js';
 import type { ReadFault } from './ManifestReader.js';
@@ -40,7 +40,7 @@
   options: GarbageOptions,
 ): Promise<Result<GarbageReport, ReadFault>> {
   const { deadline, maxRemovals } = options;
-  const { outcome } = await callUntil(ctx, deadline, (callOptions) =>
+  const { outcome } = await callWithRetry(ctx, deadline, (callOptions) =>
     ctx.platform.list(CHUNK_PREFIX, callOptions),
   );
   if (outcome.kind !== 'done') {
@@ -130,14 +130,14 @@
 
 async function removeChunk(ctx: StoreContext, deadline: Millis, ref: ChunkRef): Promise<boolean> {
   const key = getChunkKey(ref);
-  const { outcome: read } = await callUntil(ctx, deadline, (options) =>
+  const { outcome: read } = await callWithRetry(ctx, deadline, (options) =>
     ctx.platform.get(key, options),
   );
   if (read.kind !== 'done' || read.value.revision === 0) {
     return false;
   }
   const { revision } = read.value;
-  const { outcome } = await callUntil(ctx, deadline, (options) =>
+  const { outcome } = await callWithRetry(ctx, deadline, (options) =>
     ctx.platform.remove(key, revision, options),
   );
   return outcome.kind === 'done';
--- a/packages/manifest/src/ManifestPeers.ts
+++ b/packages/manifest/src/ManifestPeers.ts
@@ -127,7 +127,7 @@
  * Peers to tell of a new revision. Each revision orders the domain anew into a tree; a watcher, which
  * is where the revision comes in, also tells the tree's first members and the other domains' watchers.
  */
-export function selectListeners(plan: PeerPlan, revision: number): readonly InstanceId[] {
+export function selectRecipients(plan: PeerPlan, revision: number): readonly InstanceId[] {
   const order = selectOwners(`manifest-spread/${revision}`, plan.ownDomain, plan.ownDomain.length);
   const place = order.indexOf(plan.self.id);
   const below = order.slice(FAN_OUT * place + 1, FAN_OUT * place + 1 + FAN_OUT);
@@ -139,7 +139,7 @@
  * Turn of this instance in reading a revision's chunks from the platform: 0 for the two readers, which
  * read as soon as they see the root, 1 for the next watcher, and so on.
  */
-export function getReaderDelay({ watchers, self }: PeerPlan, revision: number): number {
+export function getReaderRank({ watchers, self }: PeerPlan, revision: number): number {
   const order = selectOwners(`manifest-read/${revision}`, watchers, watchers.length);
   return Math.max(0, order.indexOf(self.id) - READERS + 1);
 }
--- a/packages/manifest/src/ManifestRates.ts
+++ b/packages/manifest/src/ManifestRates.ts
@@ -9,7 +9,7 @@
 import { DEFAULT_BUDGET_RATES } from '@skylarksail/store/StoreBudget';
 
 /** Instances that use the manifest's rates at the same time, at the most, on an ordinary day. */
-export const MANIFEST_SHARERS = 4;
+export const MANIFEST_CONCURRENT_CLIENTS = 4;
 
 /** Reads and writes of all sharers together; pass them to a platform client of their own. */
 export const MANIFEST_BUDGET_RATES: BudgetRates = {
--- a/packages/manifest/src/ManifestReader.ts
+++ b/packages/manifest/src/ManifestReader.ts
@@ -2,9 +2,9 @@
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import type { StoreContext } from './ManifestCalls.js';
-import { callUntil, mapBounded } from './ManifestCalls.js';
+import { callWithRetry, mapBounded } from './ManifestCalls.js';
 import type { ChunkRef, ManifestTree } from './ManifestChunks.js';
-import { isChunkText, parseBody, parseIndex, walkTree } from './ManifestChunks.js';
+import { matchesChunkHash, parseBody, parseIndex, walkTree } from './ManifestChunks.js';
 import type { HistoryPage, ManifestRoot, RevisionSummary } from './ManifestRoot.js';
 import { getChunkKey, parseHistoryPage, parseRoot, ROOT_KEY } from './ManifestRoot.js';
 
@@ -34,7 +34,7 @@
   ctx: StoreContext,
   deadline: Millis,
 ): Promise<Result<StoredRoot, ReadFault>> {
-  const { outcome } = await callUntil(ctx, deadline, (options) =>
+  const { outcome } = await callWithRetry(ctx, deadline, (options) =>
     ctx.platform.get(ROOT_KEY, options),
   );
   if (outcome.kind !== 'done') {
@@ -65,7 +65,7 @@
   ref: ChunkRef,
 ): Promise<Result<string, ReadFault>> {
   const key = getChunkKey(ref);
-  const { outcome } = await callUntil(ctx, deadline, (options) => ctx.platform.get(key, options));
+  const { outcome } = await callWithRetry(ctx, deadline, (options) => ctx.platform.get(key, options));
   if (outcome.kind !== 'done') {
     return createFailed({ kind: 'unavailable' });
   }
@@ -73,7 +73,7 @@
   if (revision === 0) {
     return createFailed({ kind: 'gone', ref });
   }
-  return isChunkText(ref, value)
+  return matchesChunkHash(ref, value)
     ? createOk(value)
     : createFailed({ kind: 'garbage', key, detail: 'the text does not match its hash' });
 }
--- a/packages/manifest/src/ManifestRunner.ts
+++ b/packages/manifest/src/ManifestRunner.ts
@@ -5,7 +5,7 @@
 import type { StoreEntry, StoreOutcome, StorePort } from '@skylarksail/store/StorePort';
 import { mapBounded } from './ManifestCalls.js';
 import type { ChunkRef } from './ManifestChunks.js';
-import { isChunkText } from './ManifestChunks.js';
+import { matchesChunkHash } from './ManifestChunks.js';
 import type { SpreadMessage } from './ManifestMessages.js';
 import { parseSpreadMessage } from './ManifestMessages.js';
 import type { SpreadMember } from './ManifestPeers.js';
@@ -54,7 +54,7 @@
   /** Takes a submission accepted through this instance; see `SubmitOptions.onAccepted`. */
   learnAccepted(root: ManifestRoot, chunks: ReadonlyMap<ChunkRef, string>): void;
   /** Asks every domain how far a revision is in force; read the answers with `listInForce`. */
-  askInForce(revision: number): void;
+  queryInForce(revision: number): void;
   /** Stops for good. */
   stop(): void;
 }
@@ -128,7 +128,7 @@
     const chunks = new Map<ChunkRef, string>();
     await mapBounded(refs, async (ref) => {
       const text = await readChunkText(ref);
-      if (text !== null && isChunkText(ref, text)) {
+      if (text !== null && matchesChunkHash(ref, text)) {
         chunks.set(ref, text);
       }
     });
@@ -163,7 +163,7 @@
     },
     changeMembers: (members) => enqueue({ type: 'members-changed', at: timers.now(), members }),
     learnAccepted: (root, chunks) => enqueue({ type: 'accepted', at: timers.now(), root, chunks }),
-    askInForce: (revision) => enqueue({ type: 'digest-wanted', at: timers.now(), revision }),
+    queryInForce: (revision) => enqueue({ type: 'digest-wanted', at: timers.now(), revision }),
     stop() {
       isStopped = true;
       stopTicks();
--- a/packages/manifest/src/ManifestSlices.ts
+++ b/packages/manifest/src/ManifestSlices.ts
@@ -13,7 +13,7 @@
 export type Pause = () => Promise<void>;
 
 /** Does the work in one go. */
-export function runAtOnce<T>(work: SlicedWork<T>): T {
+export function runSynchronously<T>(work: SlicedWork<T>): T {
   for (;;) {
     const step = work.next();
     if (step.done) {
--- a/packages/manifest/src/ManifestSpread.ts
+++ b/packages/manifest/src/ManifestSpread.ts
@@ -6,7 +6,7 @@
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import {
-  askDigests,
+  requestDigests,
   createDigest,
   pruneConfirmations,
   receiveDigest,
@@ -15,13 +15,13 @@
 } from './ManifestConfirm.js';
 import {
   advanceTarget,
-  answerAsked,
-  askNextTeller,
-  askTeller,
+  answerRequest,
+  requestRootFromNext,
+  requestRoot,
   changeSource,
   getKnownRevision,
-  giveUpSource,
-  offerSource,
+  dropStaleSource,
+  adoptPeerSource,
   pauseTarget,
   receiveChunks,
   receiveGiven,
@@ -39,11 +39,11 @@
 import {
   continueStep,
   createStep,
-  createTold,
+  createToldEffect,
   getRevisionOf,
   KnownBy,
 } from './ManifestSpreadTypes.js';
-import { getPollPeriod, keepWatch, poll, receiveAccepted, receiveRoot } from './ManifestWatch.js';
+import { getPollPeriod, ensureWatch, poll, receiveAccepted, receiveRoot } from './ManifestWatch.js';
 import { advanceStart, beginStart, receiveStartAnswer } from './ManifestStart.js';
 
 const GOSSIP_JITTER = 0.3;
@@ -56,12 +56,12 @@
     held: null,
     heldSince: 0,
     inForce: null,
-    asking: null,
+    rootRequest: null,
     target: null,
     deltas: [],
-    keeperAsk: 0,
+    keeperQueryId: 0,
     isKept: false,
-    waiters: [],
+    pendingReplies: [],
     platformSeen: null,
     platformSeenAt: 0,
     watch: { isWaiting: false, retryAt: 0, backoff: 0, platformRevision: 0 },
@@ -102,7 +102,7 @@
         counts: { ...state.counts, droppedMessages: state.counts.droppedMessages + 1 },
       });
     case 'digest-wanted':
-      return askDigests(state, event.revision, event.at);
+      return requestDigests(state, event.revision, event.at);
     default:
       return createStep(state);
   }
@@ -119,7 +119,7 @@
   const asked = continueStep(beginStart(ctx, timed, at), (next) =>
     createStep(next, [{ type: 'read-root' }]),
   );
-  return continueStep(asked, (next) => keepWatch(next, at));
+  return continueStep(asked, (next) => ensureWatch(next, at));
 }
 
 function changeMembers(
@@ -133,11 +133,11 @@
   const own = plan.self.domain;
   const isSameCollectors = String(before.collectors.get(own)) === String(plan.collectors.get(own));
   const confirmed = isSameCollectors || !state.inForce ? createStep(next) : sendConfirmation(next);
-  return continueStep(confirmed, (following) => keepWatch(following, at));
+  return continueStep(confirmed, (following) => ensureWatch(following, at));
 }
 
 function tick(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  const parts = [advanceStart, poll, gossip, confirmAgain, watchAgain, fetchAgain, askNextTeller];
+  const parts = [advanceStart, poll, gossip, confirmAgain, watchAgain, fetchAgain, requestRootFromNext];
   return parts.reduce<SpreadStep>(
     (step, part) => continueStep(step, (next) => part(ctx, next, at)),
     createStep(state),
@@ -151,7 +151,7 @@
   const gossipAt = at + jitter(ctx.random, ctx.settings.gossipPeriod, GOSSIP_JITTER);
   const to = selectGossipPeer(state.plan, ctx.random, ctx.settings.gossipFarShare);
   const revision = getRevisionOf(state.held);
-  return createStep({ ...state, gossipAt }, to === undefined ? [] : [createTold(to, revision)]);
+  return createStep({ ...state, gossipAt }, to === undefined ? [] : [createToldEffect(to, revision)]);
 }
 
 function confirmAgain(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
@@ -164,7 +164,7 @@
 }
 
 function watchAgain(_ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  return keepWatch(state, at);
+  return ensureWatch(state, at);
 }
 
 function fetchAgain(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
@@ -203,7 +203,7 @@
         advanceStart(ctx, next, at),
       );
     case 'asked':
-      return answerAsked(ctx, state, from, message.have, message.refs);
+      return answerRequest(ctx, state, from, message.have, message.refs);
     case 'given':
       return receiveGiven(ctx, state, message.root, message.chunks, from, at);
     case 'confirmed':
@@ -232,7 +232,7 @@
   at: Millis,
 ): SpreadStep {
   const heard = noteKeeper(receiveStartAnswer(state, from, revision, reply), revision, reply);
-  const given = giveUpSource(ctx, heard, from, revision, at);
+  const given = dropStaleSource(ctx, heard, from, revision, at);
   return continueStep(given, (noted) => answerTold(ctx, noted, from, { revision, ask }, at));
 }
 
@@ -248,21 +248,21 @@
     const waiting = ask === 0 ? noted : addWaiter(noted, from, ask);
     const isNews = revision > getKnownRevision(noted) && noted.start?.goal !== null;
     return isNews
-      ? askTeller(ctx, waiting, from, revision, at)
-      : offerSource(ctx, waiting, from, revision, at);
+      ? requestRoot(ctx, waiting, from, revision, at)
+      : adoptPeerSource(ctx, waiting, from, revision, at);
   }
   return ask !== 0 || revision < own
-    ? createStep(noted, [createTold(from, own, { reply: ask })])
+    ? createStep(noted, [createToldEffect(from, own, { reply: ask })])
     : createStep(noted);
 }
 
 function addWaiter(state: SpreadState, peer: InstanceId, ask: number): SpreadState {
-  const others = state.waiters.filter((waiter) => waiter.peer !== peer);
-  return { ...state, waiters: [...others, { peer, ask }] };
+  const others = state.pendingReplies.filter((waiter) => waiter.peer !== peer);
+  return { ...state, pendingReplies: [...others, { peer, ask }] };
 }
 
 function noteKeeper(state: SpreadState, revision: number, reply: number): SpreadState {
-  const isAnswer = reply !== 0 && reply === state.keeperAsk;
+  const isAnswer = reply !== 0 && reply === state.keeperQueryId;
   return isAnswer && revision >= getRevisionOf(state.held) ? { ...state, isKept: true } : state;
 }
 
--- a/packages/manifest/src/ManifestSpreadTypes.ts
+++ b/packages/manifest/src/ManifestSpreadTypes.ts
@@ -72,10 +72,10 @@
   | { readonly kind: 'none' };
 
 /** A higher revision that peers told of and whose root was asked for. */
-export interface SpreadAsking {
+export interface RootRequest {
   readonly revision: number;
   /** Peers that told of it and were not asked yet: one is asked at a time, as each gives the delta. */
-  readonly tellers: readonly InstanceId[];
+  readonly announcers: readonly InstanceId[];
   readonly answerBy: Millis;
 }
 
@@ -91,7 +91,7 @@
 }
 
 /** A peer that asked whether a revision is held here, with the number to repeat. */
-export interface SpreadWaiter {
+export interface PendingReply {
   readonly peer: InstanceId;
   readonly ask: number;
 }
@@ -100,10 +100,10 @@
 export interface SpreadStart {
   /** Number that answers must repeat. */
   readonly ask: number;
-  readonly askedPeers: readonly InstanceId[];
+  readonly queriedPeers: readonly InstanceId[];
   readonly answers: ReadonlyMap<InstanceId, number>;
   /** Whether a read of the platform got no answer since the start began. */
-  readonly isPlatformOut: boolean;
+  readonly isPlatformUnavailable: boolean;
   /**
    * Highest answer, once it is decided on; the start ends when it is held. Were it to end before, and
    * the peer with the highest die, a lower revision would be taken from another.
@@ -154,18 +154,18 @@
   readonly held: HeldManifest | null;
   readonly heldSince: Millis;
   readonly inForce: HeldManifest | null;
-  readonly asking: SpreadAsking | null;
+  readonly rootRequest: RootRequest | null;
   readonly target: SpreadTarget | null;
   readonly deltas: readonly RevisionDelta[];
   /** Number that the keepers' answers about the held revision must repeat. */
-  readonly keeperAsk: number;
+  readonly keeperQueryId: number;
   /**
    * Whether a keeper has answered, after this instance held the revision, that it holds it too. An
    * earlier word would not do: the keeper may have restarted since, and learned less.
    */
   readonly isKept: boolean;
   /** Peers that want to hear once the next revision is held here. */
-  readonly waiters: readonly SpreadWaiter[];
+  readonly pendingReplies: readonly PendingReply[];
   /** Highest revision read from the platform; null before the first answer. */
   readonly platformSeen: number | null;
   readonly platformSeenAt: Millis;
@@ -254,12 +254,12 @@
 const ASK_NUMBERS = 2 ** 31 - 1;
 
 /** A number for a question, so that answers to an earlier process of the same id do not count. */
-export function drawAsk(ctx: SpreadContext): number {
+export function drawQueryId(ctx: SpreadContext): number {
   return 1 + ctx.random.nextInt(ASK_NUMBERS);
 }
 
 /** A message that tells what is held here. */
-export function createTold(
+export function createToldEffect(
   to: InstanceId,
   revision: number,
   { ask = 0, reply = 0 }: { readonly ask?: number; readonly reply?: number } = {},
--- a/packages/manifest/src/ManifestStart.ts
+++ b/packages/manifest/src/ManifestStart.ts
@@ -4,23 +4,23 @@
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
-import { askTeller, getKnownRevision } from './ManifestFetch.js';
+import { requestRoot, getKnownRevision } from './ManifestFetch.js';
 import { selectStartPeers } from './ManifestPeers.js';
 import type { SpreadContext, SpreadStart, SpreadState, SpreadStep } from './ManifestSpreadTypes.js';
-import { createStep, createTold, drawAsk, getRevisionOf } from './ManifestSpreadTypes.js';
+import { createStep, createToldEffect, drawQueryId, getRevisionOf } from './ManifestSpreadTypes.js';
 
 /** Asks the platform's root (by the caller) and several peers. */
 export function beginStart(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const askedPeers = selectStartPeers(state.plan, ctx.random);
   const endsAt = at + ctx.settings.startLimit;
   const revision = getRevisionOf(state.held);
-  const ask = drawAsk(ctx);
+  const ask = drawQueryId(ctx);
   return createStep(
     {
       ...state,
-      start: { ask, askedPeers, answers: new Map(), isPlatformOut: false, goal: null, endsAt },
+      start: { ask, queriedPeers: askedPeers, answers: new Map(), isPlatformUnavailable: false, goal: null, endsAt },
     },
-    askedPeers.map((to) => createTold(to, revision, { ask })),
+    askedPeers.map((to) => createToldEffect(to, revision, { ask })),
   );
 }
 
@@ -60,8 +60,8 @@
 /** Notes that the platform did not answer, so that the peers' word has to do. */
 export function noteRootFailure(state: SpreadState): SpreadState {
   const { start } = state;
-  return start && !start.isPlatformOut
-    ? { ...state, start: { ...start, isPlatformOut: true } }
+  return start && !start.isPlatformUnavailable
+    ? { ...state, start: { ...start, isPlatformUnavailable: true } }
     : state;
 }
 
@@ -71,7 +71,7 @@
  * served an older revision than it had before its restart until the platform's answer came.
  */
 function isAnswered(start: SpreadStart, at: Millis): boolean {
-  const { askedPeers, answers, endsAt, isPlatformOut } = start;
+  const { queriedPeers: askedPeers, answers, endsAt, isPlatformUnavailable: isPlatformOut } = start;
   const isComplete = isPlatformOut && answers.size === askedPeers.length;
   return answers.size > 0 && (isComplete || at >= endsAt);
 }
@@ -91,6 +91,6 @@
   const endsAt = at + ctx.settings.startFetchLimit;
   const decided = { ...state, start: { ...start, goal, endsAt } };
   return goal > getKnownRevision(state)
-    ? askTeller(ctx, decided, peer, goal, at)
+    ? requestRoot(ctx, decided, peer, goal, at)
     : createStep(decided);
 }
--- a/packages/manifest/src/ManifestStore.ts
+++ b/packages/manifest/src/ManifestStore.ts
@@ -5,7 +5,7 @@
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createOk } from '@skylarksail/core/CoreTypes';
 import type { StoreContext } from './ManifestCalls.js';
-import { callUntil, mapBounded, sleep } from './ManifestCalls.js';
+import { callWithRetry, mapBounded, sleep } from './ManifestCalls.js';
 import type { ManifestFault } from './ManifestCheck.js';
 import { checkInSlices } from './ManifestCheck.js';
 import type { ChunkRef, ManifestTree, SplitManifest } from './ManifestChunks.js';
@@ -20,7 +20,7 @@
 import type { HistoryPage, ManifestRoot, RevisionSummary } from './ManifestRoot.js';
 import { appendHistory, getChunkKey, ROOT_KEY } from './ManifestRoot.js';
 import type { SlicedWork } from './ManifestSlices.js';
-import { runAtOnce, runInSlices } from './ManifestSlices.js';
+import { runSynchronously, runInSlices } from './ManifestSlices.js';
 
 /** Pause before the root is read again because a chunk that it named was gone. */
 const REREAD_DELAY: Millis = 50;
@@ -102,7 +102,7 @@
 }
 
 function doWork<T>(ctx: StoreContext, work: SlicedWork<T>): Promise<T> | T {
-  return ctx.pause ? runInSlices(work, ctx.pause) : runAtOnce(work);
+  return ctx.pause ? runInSlices(work, ctx.pause) : runSynchronously(work);
 }
 
 function getRevision({ stored }: Pick<Base, 'stored'>): number {
@@ -236,7 +236,7 @@
   const { ctx, submission, base } = attempt;
   const { platformRevision } = base.stored;
   const text = JSON.stringify(next);
-  const { outcome, isUnsure } = await callUntil(ctx, submission.deadline, (options) =>
+  const { outcome, mayHaveApplied: isUnsure } = await callWithRetry(ctx, submission.deadline, (options) =>
     ctx.platform.swap(ROOT_KEY, platformRevision, text, options),
   );
   if (outcome.kind === 'done') {
@@ -290,7 +290,7 @@
   ref: ChunkRef,
   text: string,
 ): Promise<boolean> {
-  const { outcome } = await callUntil(ctx, deadline, (options) =>
+  const { outcome } = await callWithRetry(ctx, deadline, (options) =>
     ctx.platform.swap(getChunkKey(ref), 0, text, options),
   );
   return (
--- a/packages/manifest/src/ManifestWatch.ts
+++ b/packages/manifest/src/ManifestWatch.ts
@@ -3,7 +3,7 @@
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { advanceTarget, choosePeerSource, learnRoot, receiveChunks } from './ManifestFetch.js';
 import type { ChunkRef } from './ManifestChunks.js';
-import { getReaderDelay } from './ManifestPeers.js';
+import { getReaderRank } from './ManifestPeers.js';
 import { advanceStart, noteRootFailure } from './ManifestStart.js';
 import type { ManifestRoot } from './ManifestRoot.js';
 import type {
@@ -34,7 +34,7 @@
 }
 
 /** Lets a watch wait, if this instance is a watcher and none is waiting. */
-export function keepWatch(state: SpreadState, at: Millis): SpreadStep {
+export function ensureWatch(state: SpreadState, at: Millis): SpreadStep {
   const { watch, plan } = state;
   if (!plan.isWatcher || watch.isWaiting || at < watch.retryAt) {
     return createStep(state);
@@ -61,7 +61,7 @@
   const seen = noteReading(watched, reading.root, at);
   const source = chooseSource(ctx, state, via, reading.root);
   const learned = reading.root ? learnRoot(ctx, seen, reading.root, source, at) : createStep(seen);
-  return continueStep(learned, (next) => keepWatch(next, at));
+  return continueStep(learned, (next) => ensureWatch(next, at));
 }
 
 /** A revision that came by the watch is news: few read it from the platform, and the others from them. */
@@ -74,7 +74,7 @@
   if (via !== 'watch' || !root || !state.held) {
     return choosePeerSource(ctx, state);
   }
-  return getReaderDelay(state.plan, root.revision) === 0 ? { kind: 'platform' } : { kind: 'none' };
+  return getReaderRank(state.plan, root.revision) === 0 ? { kind: 'platform' } : { kind: 'none' };
 }
 
 /** An instance that has never heard the platform does not wait for its ordinary poll. */
--- a/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
@@ -64,14 +64,14 @@
       bed.fleet.startAll();
       await bed.accept(3);
       await bed.pass(3000);
-      bed.fleet.setCut('d1', true);
+      bed.fleet.setPartitioned('d1', true);
       await bed.accept(4);
       await bed.pass(3000);
       expect(bed.fleet.getRevision('d0-2')).to.equal(2);
       expect(bed.fleet.getRevision('d1-2')).to.equal(1);
       bed.platform.setFaults({ outage: true });
       bed.fleet.kill('d0-2');
-      bed.fleet.setCut('d1', false);
+      bed.fleet.setPartitioned('d1', false);
       bed.platform.setFaults({ outage: true }, 'd1-0');
       bed.fleet.start('d0-2');
       await bed.pass(3000);
@@ -190,10 +190,10 @@
     bed.fleet.startAll();
     await bed.accept(3);
     await bed.pass(3000);
-    bed.fleet.setCut('d2', true);
+    bed.fleet.setPartitioned('d2', true);
     await bed.accept(4);
     await bed.pass(3000);
-    bed.fleet.getRunner('d0-0')?.askInForce(2);
+    bed.fleet.getRunner('d0-0')?.queryInForce(2);
     await bed.pass(500);
     const state = bed.fleet.getRunner('d0-0')?.getState();
     const domains = state ? listInForce(state, 2, bed.timers.now()) : [];
@@ -203,9 +203,9 @@
       ['d2', 0, 3],
     ]);
     expect(domains[2]?.age).to.equal(null);
-    bed.fleet.setCut('d2', false);
+    bed.fleet.setPartitioned('d2', false);
     await bed.pass(20_000);
-    bed.fleet.getRunner('d0-0')?.askInForce(2);
+    bed.fleet.getRunner('d0-0')?.queryInForce(2);
     await bed.pass(500);
     const after = bed.fleet.getRunner('d0-0')?.getState();
     const joined = after ? listInForce(after, 2, bed.timers.now()) : [];
--- a/packages/membership/src/MembershipApply.ts
+++ b/packages/membership/src/MembershipApply.ts
@@ -76,7 +76,7 @@
 }
 
 /** Takes in what we found ourselves: a suspicion that began, or that ran out. */
-export function applyVerdict(
+export function applyLocalRecord(
   state: MembershipState,
   record: MemberRecord,
   now: Millis,
@@ -87,7 +87,7 @@
 }
 
 /** Changes what we say of ourselves; the incarnation rises so that the new word stands. */
-export function applySelf(
+export function updateSelf(
   state: MembershipState,
   change: Partial<Pick<MemberRecord, 'phase' | 'health'>>,
   now: Millis,
@@ -220,7 +220,7 @@
   }
   if (record.domain === batch.state.self.domain) {
     const deadline = batch.now + getSuspicionTime(batch.state, record.id);
-    batch.suspicions.set(record.id, { since: batch.now, deadline, checks: 0 });
+    batch.suspicions.set(record.id, { since: batch.now, deadline, pingsSent: 0 });
   }
 }
 
--- a/packages/membership/src/MembershipCache.ts
+++ b/packages/membership/src/MembershipCache.ts
@@ -5,8 +5,8 @@
  */
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import type { AgedConfig } from './MembershipAged.js';
-import { createAgedTable, getAged, mergeAged, recordAged, takeDigest } from './MembershipAged.js';
+import type { GossipTableConfig } from './MembershipGossipTable.js';
+import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
 import type { GossipTopic } from './MembershipTopics.js';
 import { TopicNumber } from './MembershipTopics.js';
 
@@ -45,15 +45,15 @@
 const MAX_SAMPLES = 4096;
 
 /** How often an owner spreads the sketch of each of its engines. */
-export const CACHE_SPREAD_PERIOD: Millis = 90_000;
+export const CACHE_PUBLISH_PERIOD: Millis = 90_000;
 export const CACHE_BYTES_PER_SECOND = 150;
 const CACHE_BYTES_PER_MESSAGE = 120;
 
-const CACHE_TABLE_CONFIG: AgedConfig = {
+const CACHE_TABLE_CONFIG: GossipTableConfig = {
   valueBytes: 0,
   maxSends: 2,
-  sameWithin: CACHE_SPREAD_PERIOD / 2,
-  forgetAfter: 10 * 60_000,
+  duplicateWindow: CACHE_PUBLISH_PERIOD / 2,
+  retention: 10 * 60_000,
   maxEntries: 4096,
 };
 
@@ -91,7 +91,7 @@
 }
 
 /** The confidence with which an encoded sketch says that it has a prefix; 0 if it does not. */
-export function readSketch(text: string, prefix: string): number {
+export function getSketchConfidence(text: string, prefix: string): number {
   const key = hashPrefix(prefix);
   for (let at = 1; at + 1 < text.length; at += 2) {
     if (text.charCodeAt(at) * 256 + text.charCodeAt(at + 1) === key) {
@@ -102,18 +102,18 @@
 }
 
 /** Cache knowledge that rides on membership. */
-export interface CacheSpread {
+export interface CacheGossip {
   readonly topic: GossipTopic;
   /** An event of an engine that we own. */
   recordEvent(engine: EngineId, event: CacheEvent, now: Millis): void;
   /** Puts our sketch of an engine into the next digests; once every CACHE_SPREAD_PERIOD. */
-  spreadSketch(engine: EngineId, now: Millis): void;
+  publishSketch(engine: EngineId, now: Millis): void;
   /** We no longer own the engine. */
   dropSketch(engine: EngineId): void;
   /** What an answer showed of the prefix that it was asked with. */
   recordSample(engine: EngineId, prefix: string, wasCached: boolean, now: Millis): void;
   /** Chance, 0 to 1, that the engine holds the prefix. An expectation, never a fact. */
-  getChance(engine: EngineId, prefix: string, now: Millis): number;
+  getHitProbability(engine: EngineId, prefix: string, now: Millis): number;
 }
 
 interface Sample {
@@ -122,21 +122,21 @@
 }
 
 /** Creates what one instance knows of caches, with its topic, to be registered with membership. */
-export function createCacheSpread(): CacheSpread {
-  const table = createAgedTable(CACHE_TABLE_CONFIG);
+export function createCacheGossip(): CacheGossip {
+  const table = createGossipTable(CACHE_TABLE_CONFIG);
   const sketches = new Map<EngineId, CacheSketch>();
   const samples = new Map<string, Sample>();
   /** How often the digests of an engine were right, as answers showed. */
   const trust = new Map<EngineId, number>();
 
   function getDigestChance(engine: EngineId, prefix: string, now: Millis): number {
-    const entry = getAged(table, engine);
-    return entry ? readSketch(entry.value, prefix) * fade(now - entry.seenAt) : 0;
+    const entry = getTableEntry(table, engine);
+    return entry ? getSketchConfidence(entry.value, prefix) * fade(now - entry.seenAt) : 0;
   }
 
   function getChance(engine: EngineId, prefix: string, now: Millis): number {
     const sample = samples.get(nameSample(engine, prefix));
-    const digestAt = getAged(table, engine)?.seenAt ?? -Infinity;
+    const digestAt = getTableEntry(table, engine)?.seenAt ?? -Infinity;
     if (sample && (sample.wasCached || sample.seenAt >= digestAt)) {
       // A miss stands until a later digest; a hit is the better word as long as it is not old.
       const own = sample.wasCached ? fade(now - sample.seenAt) : 0;
@@ -155,8 +155,8 @@
       bytesPerSecond: CACHE_BYTES_PER_SECOND,
       bytesPerMessage: CACHE_BYTES_PER_MESSAGE,
       crossesDomains: false,
-      collect: (room, to, now) => takeDigest(table, room, to, now),
-      merge: (bytes, from, now) => mergeAged(table, bytes, from, now),
+      collect: (room, to, now) => collectDigest(table, room, to, now),
+      merge: (bytes, from, now) => mergeDigest(table, bytes, from, now),
     },
     recordEvent(engine, event, now) {
       sketches.set(
@@ -164,10 +164,10 @@
         applyCacheEvent(sketches.get(engine) ?? createCacheSketch(), event, now),
       );
     },
-    spreadSketch(engine, now) {
+    publishSketch(engine, now) {
       const sketch = sketches.get(engine);
       if (sketch) {
-        recordAged(table, engine, encodeSketch(sketch), now);
+        recordLocalValue(table, engine, encodeSketch(sketch), now);
       }
     },
     dropSketch: (engine) => {
@@ -183,7 +183,7 @@
       samples.set(name, { wasCached, seenAt: now });
       dropOldest(samples, MAX_SAMPLES);
     },
-    getChance,
+    getHitProbability: getChance,
   };
 }
 
--- a/packages/membership/src/MembershipCalls.ts
+++ b/packages/membership/src/MembershipCalls.ts
@@ -9,7 +9,7 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { PeerEnvelope } from './MembershipEnvelope.js';
 import { EnvelopeKind, encodeEnvelope } from './MembershipEnvelope.js';
-import { readArray, readText, readWhole } from './MembershipWire.js';
+import { readArray, readText, readUnsignedInteger } from './MembershipWire.js';
 
 declare const payloads: unique symbol;
 
@@ -156,7 +156,7 @@
 
   async function answerCall(from: InstanceId, fields: readonly unknown[]): Promise<void> {
     const asker = readText(fields[0]);
-    const id = readWhole(fields[1]);
+    const id = readUnsignedInteger(fields[1]);
     const handler = handlers.get(readText(fields[2]));
     if (!handler) {
       count('unhandled');
@@ -173,7 +173,7 @@
   }
 
   function takeReply(from: InstanceId, fields: readonly unknown[]): void {
-    const waiting = fields[0] === session ? pending.get(readWhole(fields[1])) : undefined;
+    const waiting = fields[0] === session ? pending.get(readUnsignedInteger(fields[1])) : undefined;
     if (waiting?.to !== from) {
       count('late');
       return;
--- a/packages/membership/src/MembershipCodec.ts
+++ b/packages/membership/src/MembershipCodec.ts
@@ -18,7 +18,7 @@
   readBytes,
   readPhase,
   readText,
-  readWhole,
+  readUnsignedInteger,
   WireError,
   writePhase,
 } from './MembershipWire.js';
@@ -59,7 +59,7 @@
     ages: readAges(readBytes(ages)),
     topics: readArray(topics).map(readTopic),
   };
-  return readBody(readWhole(kind), common, readArray(body));
+  return readBody(readUnsignedInteger(kind), common, readArray(body));
 }
 
 /** Bytes to a value; garbage throws WireError and never anything else. */
@@ -97,10 +97,10 @@
     case GossipKind.Ping:
       return readPing(common, body);
     case GossipKind.PingRequest:
-      return { ...common, kind, seq: readWhole(body[0]), target: readText(body[1]) };
+      return { ...common, kind, seq: readUnsignedInteger(body[0]), target: readText(body[1]) };
     case GossipKind.Ack: {
       const who = body.length > 1 ? readTag(body.slice(1)) : common.sender;
-      return { ...common, kind, seq: readWhole(body[0]), who };
+      return { ...common, kind, seq: readUnsignedInteger(body[0]), who };
     }
     case GossipKind.Sync: {
       const hashes = readHashes(readBytes(body[1]));
@@ -120,8 +120,8 @@
     ...common.sender,
     domain,
     rack: readText(rack),
-    address: { host: readText(host), port: readWhole(port, MAX_PORT) },
-    peerPort: readWhole(peerPort, MAX_PORT),
+    address: { host: readText(host), port: readUnsignedInteger(port, MAX_PORT) },
+    peerPort: readUnsignedInteger(peerPort, MAX_PORT),
     health: Health.Ok,
   };
   const view =
@@ -129,9 +129,9 @@
       ? null
       : {
           domain: viewDomain === 0 ? domain : readText(viewDomain),
-          hash: readWhole(viewHash, UINT32),
+          hash: readUnsignedInteger(viewHash, UINT32),
         };
-  return { ...common, kind: GossipKind.Ping, seq: readWhole(seq), self, view };
+  return { ...common, kind: GossipKind.Ping, seq: readUnsignedInteger(seq), self, view };
 }
 
 function writeTag(tag: SenderTag): readonly unknown[] {
@@ -142,8 +142,8 @@
   const [id, bootId, incarnation, phase] = fields;
   return {
     id: readText(id),
-    bootId: readWhole(bootId, UINT32),
-    incarnation: readWhole(incarnation),
+    bootId: readUnsignedInteger(bootId, UINT32),
+    incarnation: readUnsignedInteger(incarnation),
     phase: readPhase(phase),
   };
 }
@@ -159,20 +159,20 @@
     value,
     9,
   );
-  const status = readWhole(statusField, Health.Left * 2 + 1);
+  const status = readUnsignedInteger(statusField, Health.Left * 2 + 1);
   return {
     ...readTag([id, bootId, incarnation, status % 2]),
     domain: readText(domain),
     rack: readText(rack),
-    address: { host: readText(host), port: readWhole(port, MAX_PORT) },
-    peerPort: readWhole(peerPort, MAX_PORT),
+    address: { host: readText(host), port: readUnsignedInteger(port, MAX_PORT) },
+    peerPort: readUnsignedInteger(peerPort, MAX_PORT),
     health: Math.floor(status / 2) as HealthCode,
   };
 }
 
 function readTopic(value: unknown): TopicPayload {
   const [topic, bytes] = readArray(value, 2);
-  return { topic: readWhole(topic, 255), bytes: readBytes(bytes) };
+  return { topic: readUnsignedInteger(topic, 255), bytes: readBytes(bytes) };
 }
 
 /** Three bytes of the domain's hash and one of its age, rounded up so that no hop makes news younger. */
--- a/packages/membership/src/MembershipDigests.ts
+++ b/packages/membership/src/MembershipDigests.ts
@@ -4,8 +4,8 @@
  */
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import { Packr } from 'msgpackr';
-import type { AgedConfig } from './MembershipAged.js';
-import { createAgedTable, getAged, mergeAged, recordAged, takeDigest } from './MembershipAged.js';
+import type { GossipTableConfig } from './MembershipGossipTable.js';
+import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
 import { unpack } from './MembershipCodec.js';
 import type { GossipTopic, TopicCode } from './MembershipTopics.js';
 import { MembershipError } from './MembershipErrors.js';
@@ -21,7 +21,7 @@
   /** How often one instance passes a value on. */
   readonly maxSends?: number;
   /** Values not recorded again for this long are forgotten. */
-  readonly forgetAfter: Millis;
+  readonly retention: Millis;
   readonly maxEntries?: number;
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** Values of one kind, the same on all instances after a while. The latest recorded stands. */
-export interface DigestSpread<Value> {
+export interface DigestGossip<Value> {
   readonly topic: GossipTopic;
   /** Records a value; at most 200 bytes once packed. Record it again now and then to keep it. */
   record(key: string, value: Value, now: Millis): void;
@@ -51,25 +51,25 @@
 const packr = new Packr({ useRecords: false });
 
 /** Creates a digest with its topic, to be registered with membership. */
-export function createDigestSpread<Value>(options: DigestOptions): DigestSpread<Value> {
-  const cfg: AgedConfig = {
+export function createDigestGossip<Value>(options: DigestOptions): DigestGossip<Value> {
+  const cfg: GossipTableConfig = {
     valueBytes: 0,
     maxSends: options.maxSends ?? DEFAULT_MAX_SENDS,
-    sameWithin: SAME_WITHIN,
-    forgetAfter: options.forgetAfter,
+    duplicateWindow: SAME_WITHIN,
+    retention: options.retention,
     maxEntries: options.maxEntries ?? DEFAULT_MAX_ENTRIES,
   };
   const listeners = new Set<() => void>();
-  const table = createAgedTable(cfg);
+  const table = createGossipTable(cfg);
   return {
     topic: {
       topic: options.topic,
       bytesPerSecond: options.bytesPerSecond,
       bytesPerMessage: options.bytesPerMessage,
       crossesDomains: options.crossesDomains,
-      collect: (room, to, now) => takeDigest(table, room, to, now),
+      collect: (room, to, now) => collectDigest(table, room, to, now),
       merge(bytes, from, now) {
-        mergeAged(table, bytes, from, now);
+        mergeDigest(table, bytes, from, now);
         listeners.forEach((listener) => listener());
       },
     },
@@ -78,17 +78,17 @@
       if (bytes.length > MAX_VALUE_BYTES) {
         throw new DigestSizeError(`a digest of ${bytes.length} bytes is over ${MAX_VALUE_BYTES}`);
       }
-      recordAged(table, key, bytes.toString('latin1'), now);
+      recordLocalValue(table, key, bytes.toString('latin1'), now);
     },
     get(key, now) {
-      const entry = getAged(table, key);
-      return entry && now - entry.seenAt < cfg.forgetAfter
+      const entry = getTableEntry(table, key);
+      return entry && now - entry.seenAt < cfg.retention
         ? { value: readValue<Value>(entry.value), seenAt: entry.seenAt }
         : null;
     },
     getAll: (now) =>
       [...table.entries.values()]
-        .filter(({ seenAt }) => now - seenAt < cfg.forgetAfter)
+        .filter(({ seenAt }) => now - seenAt < cfg.retention)
         .map(({ value, seenAt }) => ({ value: readValue<Value>(value), seenAt })),
     registerListener(listener) {
       listeners.add(listener);
--- a/packages/membership/src/MembershipEnvelope.ts
+++ b/packages/membership/src/MembershipEnvelope.ts
@@ -4,7 +4,7 @@
  */
 import type { InstanceId } from '@skylarksail/core/CoreTypes';
 import { Packr } from 'msgpackr';
-import { readArray, readText, readWhole, WireError } from './MembershipWire.js';
+import { readArray, readText, readUnsignedInteger, WireError } from './MembershipWire.js';
 
 /** Kinds of envelope. The numbers are on the wire and are never given a new meaning. */
 export const EnvelopeKind = {
@@ -35,7 +35,7 @@
 /** Reads an envelope; throws WireError on anything that is not one. */
 export function decodeEnvelope(bytes: Uint8Array): PeerEnvelope {
   const [kind, from, payload] = readArray(unpackEnvelope(bytes), 3);
-  const kindCode = readWhole(kind, EnvelopeKind.Notice);
+  const kindCode = readUnsignedInteger(kind, EnvelopeKind.Notice);
   if (kindCode === 0) {
     throw new WireError('unknown kind of envelope');
   }
--- a/packages/membership/src/MembershipAged.ts
+++ b/packages/membership/src/MembershipGossipTable.ts
@@ -11,19 +11,19 @@
 import { WireError } from './MembershipWire.js';
 
 /** How values of one table are spread. */
-export interface AgedConfig {
+export interface GossipTableConfig {
   /** Bytes of each value; 0 for values of different length, up to 255 bytes. */
   readonly valueBytes: number;
   /** How often one instance passes a value on. */
   readonly maxSends: number;
   /** The same value seen again within this time is old news. */
-  readonly sameWithin: Millis;
+  readonly duplicateWindow: Millis;
   /** Values not seen for this long are dropped. */
-  readonly forgetAfter: Millis;
+  readonly retention: Millis;
   readonly maxEntries: number;
 }
 
-export interface AgedEntry {
+export interface GossipTableEntry {
   readonly key: number;
   /** Its bytes, one character each: short texts are far cheaper to make and compare than arrays. */
   readonly value: string;
@@ -37,9 +37,9 @@
   readonly isChange: boolean;
 }
 
-export interface AgedTable {
-  readonly cfg: AgedConfig;
-  readonly entries: Map<number, AgedEntry>;
+export interface GossipTable {
+  readonly cfg: GossipTableConfig;
+  readonly entries: Map<number, GossipTableEntry>;
 }
 
 /** Two keys of a domain's 350 engines collide once in 270 domains; the load is a hint in any case. */
@@ -54,23 +54,23 @@
 const KEPT_SHARE = 0.75;
 
 /** A table's key for a name, the same on every instance. */
-export function getAgedKey(name: string): number {
+export function getTableKey(name: string): number {
   return hash32(name) % KEY_LIMIT;
 }
 
-export function createAgedTable(cfg: AgedConfig): AgedTable {
+export function createGossipTable(cfg: GossipTableConfig): GossipTable {
   return { cfg, entries: new Map() };
 }
 
 /** Notes a value that we saw ourselves, at `now`. */
-export function recordAged(table: AgedTable, name: string, value: string, now: Millis): void {
-  takeEntry(table, { key: getAgedKey(name), value, seenAt: now, from: null });
+export function recordLocalValue(table: GossipTable, name: string, value: string, now: Millis): void {
+  takeEntry(table, { key: getTableKey(name), value, seenAt: now, from: null });
   limitEntries(table, now);
 }
 
 /** Takes in a digest of another instance. Throws WireError on bytes that are not one. */
-export function mergeAged(
-  table: AgedTable,
+export function mergeDigest(
+  table: GossipTable,
   bytes: Uint8Array,
   from: InstanceId,
   now: Millis,
@@ -98,8 +98,8 @@
 }
 
 /** The next digest of at most `room` bytes for `to`; each entry in it counts as passed on once more. */
-export function takeDigest(
-  table: AgedTable,
+export function collectDigest(
+  table: GossipTable,
   room: number,
   to: InstanceId,
   now: Millis,
@@ -116,8 +116,8 @@
 }
 
 /** What is known of a name. */
-export function getAged(table: AgedTable, name: string): AgedEntry | null {
-  return table.entries.get(getAgedKey(name)) ?? null;
+export function getTableEntry(table: GossipTable, name: string): GossipTableEntry | null {
+  return table.entries.get(getTableKey(name)) ?? null;
 }
 
 /** An age as a byte, rounded up so that no hop makes a value younger. */
@@ -135,16 +135,16 @@
   return fine * FINE_STEP + (code - fine) * COARSE_STEP;
 }
 
-type Sighting = Pick<AgedEntry, 'key' | 'value' | 'seenAt' | 'from'>;
+type Sighting = Pick<GossipTableEntry, 'key' | 'value' | 'seenAt' | 'from'>;
 
-function takeEntry({ cfg, entries }: AgedTable, seen: Sighting): void {
+function takeEntry({ cfg, entries }: GossipTable, seen: Sighting): void {
   const known = entries.get(seen.key);
   if (!known) {
     entries.set(seen.key, { ...seen, sends: 0, isChange: true });
     return;
   }
   const isSame = known.value === seen.value;
-  if (isSame && Math.abs(seen.seenAt - known.seenAt) < cfg.sameWithin) {
+  if (isSame && Math.abs(seen.seenAt - known.seenAt) < cfg.duplicateWindow) {
     // The same sighting by another path, though rounded ages may make it look a little newer. Taken as
     // a new one it would be passed on for ever; as it is, it shows that others have it already.
     const seenAt = Math.max(known.seenAt, seen.seenAt);
@@ -158,14 +158,14 @@
   }
 }
 
-function chooseEntries(table: AgedTable, room: number, to: InstanceId): readonly AgedEntry[] {
+function chooseEntries(table: GossipTable, room: number, to: InstanceId): readonly GossipTableEntry[] {
   const { cfg } = table;
-  const chosen: AgedEntry[] = [];
+  const chosen: GossipTableEntry[] = [];
   let used = 0;
   for (const group of groupWaiting(table, to)) {
     // From the end: what came last is the freshest.
     for (let i = group.length - 1; i >= 0; i--) {
-      const entry = group[i] as AgedEntry;
+      const entry = group[i] as GossipTableEntry;
       used += measureEntry(cfg, entry);
       if (used > room) {
         return chosen;
@@ -177,8 +177,8 @@
 }
 
 /** Entries to be passed on, the most urgent group first: seldom sent, then changed. */
-function groupWaiting({ cfg, entries }: AgedTable, to: InstanceId): readonly AgedEntry[][] {
-  const groups = Array.from({ length: 2 * cfg.maxSends }, (): AgedEntry[] => []);
+function groupWaiting({ cfg, entries }: GossipTable, to: InstanceId): readonly GossipTableEntry[][] {
+  const groups = Array.from({ length: 2 * cfg.maxSends }, (): GossipTableEntry[] => []);
   for (const entry of entries.values()) {
     if (entry.sends < cfg.maxSends && entry.from !== to) {
       groups[2 * entry.sends + (entry.isChange ? 0 : 1)]?.push(entry);
@@ -187,15 +187,15 @@
   return groups;
 }
 
-function measureEntry(cfg: AgedConfig, entry: AgedEntry): number {
+function measureEntry(cfg: GossipTableConfig, entry: GossipTableEntry): number {
   return KEY_BYTES + AGE_BYTES + (cfg.valueBytes || 1 + entry.value.length);
 }
 
 function writeEntry(
-  cfg: AgedConfig,
+  cfg: GossipTableConfig,
   bytes: Buffer,
   start: number,
-  entry: AgedEntry,
+  entry: GossipTableEntry,
   now: Millis,
 ): number {
   let at = bytes.writeUIntBE(entry.key, start, KEY_BYTES);
@@ -207,14 +207,14 @@
 }
 
 /** Drops what was not seen for long, and the oldest beyond the bound. */
-function limitEntries({ cfg, entries }: AgedTable, now: Millis): void {
+function limitEntries({ cfg, entries }: GossipTable, now: Millis): void {
   if (entries.size <= cfg.maxEntries) {
     return;
   }
   const ordered = [...entries.values()].sort((a, b) => b.seenAt - a.seenAt);
   ordered.forEach((entry, i) => {
     // A quarter is freed at once, so that the sorting is not done for each new entry.
-    if (i >= cfg.maxEntries * KEPT_SHARE || now - entry.seenAt >= cfg.forgetAfter) {
+    if (i >= cfg.maxEntries * KEPT_SHARE || now - entry.seenAt >= cfg.retention) {
       entries.delete(entry.key);
     }
   });
--- a/packages/membership/src/MembershipLoad.ts
+++ b/packages/membership/src/MembershipLoad.ts
@@ -6,8 +6,8 @@
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import type { EngineLoad } from '@skylarksail/core/CoreEngine';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
-import type { AgedConfig, AgedTable } from './MembershipAged.js';
-import { createAgedTable, getAged, mergeAged, recordAged, takeDigest } from './MembershipAged.js';
+import type { GossipTableConfig, GossipTable } from './MembershipGossipTable.js';
+import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
 import type { GossipTopic } from './MembershipTopics.js';
 import { TopicNumber } from './MembershipTopics.js';
 
@@ -17,16 +17,16 @@
 export const LOAD_BYTES_PER_SECOND = 1000;
 const LOAD_BYTES_PER_MESSAGE = 420;
 
-export const LOAD_TABLE_CONFIG: AgedConfig = {
+export const LOAD_TABLE_CONFIG: GossipTableConfig = {
   valueBytes: 2,
   maxSends: 2,
-  sameWithin: LOAD_POLL_PERIOD / 2,
-  forgetAfter: 120_000,
+  duplicateWindow: LOAD_POLL_PERIOD / 2,
+  retention: 120_000,
   maxEntries: 4096,
 };
 
 /** An engine's load as it is spread: counts are rounded to about a tenth of themselves. */
-export interface SpreadLoad {
+export interface QuantizedLoad {
   readonly running: number;
   readonly queued: number;
   /** Share of the KV cache in use, 0 to 1, in sixteenths. */
@@ -36,7 +36,7 @@
   readonly seenAt: Millis;
 }
 
-export type LoadTable = AgedTable;
+export type LoadTable = GossipTable;
 
 const RUNNING_SCALE = 8;
 const RUNNING_MAX = 63;
@@ -44,18 +44,18 @@
 const QUEUED_MAX = 31;
 const KV_MAX = 15;
 
-export function createLoadTable(cfg: Partial<AgedConfig> = {}): LoadTable {
-  return createAgedTable({ ...LOAD_TABLE_CONFIG, ...cfg });
+export function createLoadTable(cfg: Partial<GossipTableConfig> = {}): LoadTable {
+  return createGossipTable({ ...LOAD_TABLE_CONFIG, ...cfg });
 }
 
 /** Notes what an engine that we poll has just said. */
 export function recordLoad(table: LoadTable, load: EngineLoad, now: Millis): void {
-  recordAged(table, load.engine, encodeLoad(load), now);
+  recordLocalValue(table, load.engine, encodeLoad(load), now);
 }
 
 /** What is known of one engine's load, or null. */
-export function getLoad(table: LoadTable, engine: EngineId): SpreadLoad | null {
-  const entry = getAged(table, engine);
+export function getLoad(table: LoadTable, engine: EngineId): QuantizedLoad | null {
+  const entry = getTableEntry(table, engine);
   return entry ? { ...decodeLoad(entry.value), seenAt: entry.seenAt } : null;
 }
 
@@ -63,8 +63,8 @@
 export function getLoads(
   table: LoadTable,
   engines: readonly EngineId[],
-): ReadonlyMap<EngineId, SpreadLoad> {
-  const loads = new Map<EngineId, SpreadLoad>();
+): ReadonlyMap<EngineId, QuantizedLoad> {
+  const loads = new Map<EngineId, QuantizedLoad>();
   for (const engine of engines) {
     const load = getLoad(table, engine);
     if (load) {
@@ -86,7 +86,7 @@
   return String.fromCharCode(Math.floor(word / 256), word % 256);
 }
 
-export function decodeLoad(value: string): Omit<SpreadLoad, 'seenAt'> {
+export function decodeLoad(value: string): Omit<QuantizedLoad, 'seenAt'> {
   const word = value.charCodeAt(0) * 256 + value.charCodeAt(1);
   return {
     running: decodeCount(Math.floor(word / 1024), RUNNING_SCALE),
@@ -105,20 +105,20 @@
 }
 
 /** Load knowledge that rides on membership. */
-export interface LoadSpread {
+export interface LoadGossip {
   readonly topic: GossipTopic;
   recordLoad(load: EngineLoad, now: Millis): void;
-  getLoad(engine: EngineId): SpreadLoad | null;
-  getLoads(engines: readonly EngineId[]): ReadonlyMap<EngineId, SpreadLoad>;
+  getLoad(engine: EngineId): QuantizedLoad | null;
+  getLoads(engines: readonly EngineId[]): ReadonlyMap<EngineId, QuantizedLoad>;
 }
 
-export interface LoadSpreadOptions {
+export interface LoadGossipOptions {
   readonly bytesPerSecond?: number;
-  readonly cfg?: Partial<AgedConfig>;
+  readonly cfg?: Partial<GossipTableConfig>;
 }
 
 /** Creates the load table of one instance with its topic, to be registered with membership. */
-export function createLoadSpread(options: LoadSpreadOptions = {}): LoadSpread {
+export function createLoadGossip(options: LoadGossipOptions = {}): LoadGossip {
   const table = createLoadTable(options.cfg);
   return {
     topic: {
@@ -126,8 +126,8 @@
       bytesPerSecond: options.bytesPerSecond ?? LOAD_BYTES_PER_SECOND,
       bytesPerMessage: LOAD_BYTES_PER_MESSAGE,
       crossesDomains: false,
-      collect: (room, to, now) => takeDigest(table, room, to, now),
-      merge: (bytes, from, now) => mergeAged(table, bytes, from, now),
+      collect: (room, to, now) => collectDigest(table, room, to, now),
+      merge: (bytes, from, now) => mergeDigest(table, bytes, from, now),
     },
     recordLoad: (load, now) => recordLoad(table, load, now),
     getLoad: (engine) => getLoad(table, engine),
--- a/packages/membership/src/MembershipMachine.ts
+++ b/packages/membership/src/MembershipMachine.ts
@@ -6,7 +6,7 @@
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import { sampleElements } from '@skylarksail/core/CoreRandom';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
-import { applySelf } from './MembershipApply.js';
+import { updateSelf } from './MembershipApply.js';
 import type { MembershipEffect, MembershipStep, StepContext } from './MembershipEffects.js';
 import { createStep, runActions } from './MembershipEffects.js';
 import type { GossipMessage } from './MembershipMessages.js';
@@ -15,7 +15,7 @@
 import {
   continueProbes,
   continueSuspicions,
-  expireRelayed,
+  expireIndirectProbes,
   sendProbe,
   startProbe,
 } from './MembershipProbes.js';
@@ -23,7 +23,7 @@
 import type { MemberRecord } from './MembershipRecords.js';
 import { Health, isDead, isPresent } from './MembershipRecords.js';
 import type { ListedInstance, MembershipState } from './MembershipState.js';
-import { contactDomains, repairView } from './MembershipSync.js';
+import { contactDomains, reconnectMembers } from './MembershipSync.js';
 import { getDomainView } from './MembershipViews.js';
 
 export type MembershipEvent =
@@ -73,13 +73,13 @@
     return createStep(state);
   }
   const resumed = resumeAfterPause(state, ctx.now);
-  const timed = { ...expireRelayed(resumed, ctx.now), lastTick: ctx.now };
+  const timed = { ...expireIndirectProbes(resumed, ctx.now), lastTick: ctx.now };
   return runActions(timed, ctx, [
     continueProbes,
     continueSuspicions,
     startProbe,
     contactDomains,
-    repairView,
+    reconnectMembers,
     judgeDomains,
     pruneTombstones,
   ]);
@@ -103,14 +103,14 @@
       return [id, { ...one, since: one.since + shift, deadline: one.deadline + shift }];
     }),
   );
-  const heard = new Map([...state.heard].map(([domain, at]) => [domain, at + getShift(at)]));
-  return { ...state, probes: [], suspicions, heard };
+  const heard = new Map([...state.domainSeenAt].map(([domain, at]) => [domain, at + getShift(at)]));
+  return { ...state, probes: [], suspicions, domainSeenAt: heard };
 }
 
 function judgeDomains(state: MembershipState, ctx: StepContext): MembershipStep {
   const effects: MembershipEffect[] = [];
   const reachable = new Set<DomainId>([state.self.domain]);
-  for (const [domain, heardAt] of state.heard) {
+  for (const [domain, heardAt] of state.domainSeenAt) {
     const isReachable = ctx.now - heardAt <= state.cfg.domainTimeout;
     if (isReachable) {
       reachable.add(domain);
@@ -139,7 +139,7 @@
     ...state,
     listed: new Map(others.map((instance) => [instance.id, instance])),
     listedDomains: new Set(others.map(({ domain }) => domain)),
-    listedNear: others.filter(({ domain }) => domain === state.self.domain),
+    listedInDomain: others.filter(({ domain }) => domain === state.self.domain),
   };
 }
 
@@ -163,7 +163,7 @@
   );
   const told = sampleElements(ctx.random, others, FAREWELLS);
   return runActions(state, ctx, [
-    (current) => applySelf(current, change, ctx.now),
+    (current) => updateSelf(current, change, ctx.now),
     ...told.map((id) => (current: MembershipState) => {
       const to = findAddress(current, id);
       return to
--- a/packages/membership/src/MembershipOutbox.ts
+++ b/packages/membership/src/MembershipOutbox.ts
@@ -34,7 +34,7 @@
   const taken = takeUpdates(state, to.id);
   const ids = new Set(taken.records.map(({ id }) => id));
   const common: GossipCommon = {
-    sender: createTag(state.self),
+    sender: createSenderTag(state.self),
     updates: [...taken.records, ...extra.filter(({ id }) => !ids.has(id))],
     ages: getDomainAges(state, now),
     topics: [],
@@ -44,7 +44,7 @@
   return createStep({ ...state, updates: taken.updates }, [effect]);
 }
 
-export function createTag(record: MemberRecord): SenderTag {
+export function createSenderTag(record: MemberRecord): SenderTag {
   const { id, bootId, incarnation, phase } = record;
   return { id, bootId, incarnation, phase };
 }
@@ -117,7 +117,7 @@
 
 function getDomainAges(state: MembershipState, now: Millis): readonly DomainAge[] {
   const ages: DomainAge[] = [];
-  for (const [domain, heardAt] of state.heard) {
+  for (const [domain, heardAt] of state.domainSeenAt) {
     const age = now - heardAt;
     if (age <= state.cfg.domainTimeout) {
       ages.push({ domainHash: hashDomain(domain), age });
--- a/packages/membership/src/MembershipProbes.ts
+++ b/packages/membership/src/MembershipProbes.ts
@@ -4,7 +4,7 @@
  */
 import { sampleElements } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
-import { applyVerdict } from './MembershipApply.js';
+import { applyLocalRecord } from './MembershipApply.js';
 import type { MembershipStep, StepContext } from './MembershipEffects.js';
 import { createStep, runActions } from './MembershipEffects.js';
 import { GossipKind } from './MembershipMessages.js';
@@ -62,7 +62,7 @@
   let current = createStep(state);
   for (const [id, suspicion] of state.suspicions) {
     const { since, deadline } = suspicion;
-    const share = CHECK_SHARES[suspicion.checks];
+    const share = CHECK_SHARES[suspicion.pingsSent];
     if (ctx.now >= deadline) {
       current = joinSteps(current, declareDead(current.state, id, ctx.now));
     } else if (
@@ -88,7 +88,7 @@
 }
 
 /** Probes a member because another instance, which has no answer from it, asks us to. */
-export function relayProbe(
+export function sendIndirectProbe(
   state: MembershipState,
   ctx: StepContext,
   origin: InstanceId,
@@ -96,21 +96,21 @@
   target: InstanceId,
 ): MembershipStep {
   const to = findAddress(state, target);
-  if (!to || state.relayed.length >= RELAYED_LIMIT) {
+  if (!to || state.indirectProbes.length >= RELAYED_LIMIT) {
     return createStep(state);
   }
   const seq = state.nextSeq;
-  const relayed = [...state.relayed, { seq, origin, originSeq, startedAt: ctx.now }];
-  return sendPing({ ...state, nextSeq: seq + 1, relayed }, ctx, to, seq);
+  const relayed = [...state.indirectProbes, { seq, origin, originSeq, startedAt: ctx.now }];
+  return sendPing({ ...state, nextSeq: seq + 1, indirectProbes: relayed }, ctx, to, seq);
 }
 
 /** Forgets probes made for others whose time is over. */
-export function expireRelayed(state: MembershipState, now: Millis): MembershipState {
+export function expireIndirectProbes(state: MembershipState, now: Millis): MembershipState {
   const oldest = now - state.cfg.probeTimeout;
-  if (!state.relayed.some(({ startedAt }) => startedAt < oldest)) {
+  if (!state.indirectProbes.some(({ startedAt }) => startedAt < oldest)) {
     return state;
   }
-  return { ...state, relayed: state.relayed.filter(({ startedAt }) => startedAt >= oldest) };
+  return { ...state, indirectProbes: state.indirectProbes.filter(({ startedAt }) => startedAt >= oldest) };
 }
 
 function continueProbe(state: MembershipState, ctx: StepContext, probe: Probe): MembershipStep {
@@ -138,7 +138,7 @@
   const others = getDomainView(state.members, state.self.domain).present.filter(
     (id) => id !== state.self.id && id !== probe.target,
   );
-  const actions = sampleElements(ctx.random, others, state.cfg.relays).map(
+  const actions = sampleElements(ctx.random, others, state.cfg.indirectProbers).map(
     (id) => (current: MembershipState) => {
       const to = findAddress(current, id);
       const body = { kind: GossipKind.PingRequest, seq: probe.seq, target: probe.target };
@@ -154,7 +154,7 @@
   if (!probe.suspects || !record || record.health !== Health.Ok) {
     return createStep(next);
   }
-  return applyVerdict(next, { ...record, health: Health.Suspect }, ctx.now);
+  return applyLocalRecord(next, { ...record, health: Health.Suspect }, ctx.now);
 }
 
 function checkSuspect(state: MembershipState, ctx: StepContext, id: InstanceId): MembershipStep {
@@ -164,7 +164,7 @@
     return createStep(state);
   }
   const suspicions = new Map(state.suspicions);
-  suspicions.set(id, { ...suspicion, checks: suspicion.checks + 1 });
+  suspicions.set(id, { ...suspicion, pingsSent: suspicion.pingsSent + 1 });
   const seq = state.nextSeq;
   return sendPing({ ...state, suspicions, nextSeq: seq + 1 }, ctx, to, seq);
 }
@@ -174,7 +174,7 @@
   if (record?.health !== Health.Suspect) {
     return createStep(state);
   }
-  return applyVerdict(state, { ...record, health: Health.Dead }, now);
+  return applyLocalRecord(state, { ...record, health: Health.Dead }, now);
 }
 
 function sendPing(
--- a/packages/membership/src/MembershipReceive.ts
+++ b/packages/membership/src/MembershipReceive.ts
@@ -6,19 +6,19 @@
 import type { GossipMessage, PingMessage, SenderTag } from './MembershipMessages.js';
 import { GossipKind } from './MembershipMessages.js';
 import {
-  createTag,
+  createSenderTag,
   findAddress,
   findNewerRecord,
   hashDomain,
   sendMessage,
 } from './MembershipOutbox.js';
-import { endProbe, relayProbe } from './MembershipProbes.js';
+import { endProbe, sendIndirectProbe } from './MembershipProbes.js';
 import type { MemberRecord } from './MembershipRecords.js';
 import { Health } from './MembershipRecords.js';
 import type { MembershipState } from './MembershipState.js';
 import {
   answerSync,
-  answerWanted,
+  sendWantedRecords,
   compareView,
   getOtherDomains,
   startSync,
@@ -45,7 +45,7 @@
 /** Takes in what the message says of its sender, and of the domains that were heard of. */
 function hearSender(state: MembershipState, now: Millis, message: GossipMessage): MembershipStep {
   const heard = mergeHeard(state, now, message);
-  const next = heard === state.heard ? state : { ...state, heard };
+  const next = heard === state.domainSeenAt ? state : { ...state, domainSeenAt: heard };
   const record = describeSender(next, message);
   return record ? applyRecords(next, [record], now) : createStep(next);
 }
@@ -77,20 +77,20 @@
     case GossipKind.Ping:
       return answerPing(state, ctx, message);
     case GossipKind.PingRequest:
-      return relayProbe(state, ctx, from, message.seq, message.target);
+      return sendIndirectProbe(state, ctx, from, message.seq, message.target);
     case GossipKind.Ack:
       return takeAck(state, ctx, message.seq, message.who);
     case GossipKind.Sync:
       return answerSync(state, ctx, message);
     case GossipKind.Records:
-      return answerWanted(state, ctx, from, message.wanted);
+      return sendWantedRecords(state, ctx, from, message.wanted);
     default:
       return createStep(state);
   }
 }
 
 function answerPing(state: MembershipState, ctx: StepContext, ping: PingMessage): MembershipStep {
-  const body = { kind: GossipKind.Ack, seq: ping.seq, who: createTag(state.self) };
+  const body = { kind: GossipKind.Ack, seq: ping.seq, who: createSenderTag(state.self) };
   return runActions(state, ctx, [
     (current) => sendMessage(current, ping.self, body, ctx.now),
     (current) =>
@@ -123,12 +123,12 @@
   seq: number,
   who: SenderTag,
 ): MembershipStep {
-  const relayed = state.relayed.find((one) => one.seq === seq);
+  const relayed = state.indirectProbes.find((one) => one.seq === seq);
   const to = relayed && findAddress(state, relayed.origin);
   if (!relayed || !to) {
     return createStep(state);
   }
-  const next = { ...state, relayed: state.relayed.filter((one) => one !== relayed) };
+  const next = { ...state, indirectProbes: state.indirectProbes.filter((one) => one !== relayed) };
   return sendMessage(next, to, { kind: GossipKind.Ack, seq: relayed.originSeq, who }, ctx.now);
 }
 
@@ -150,7 +150,7 @@
   const own = state.self.domain;
   const sender = findAddress(state, message.sender.id);
   const from = message.kind === GossipKind.Ping ? message.self.domain : sender?.domain;
-  const heard = new Map(state.heard);
+  const heard = new Map(state.domainSeenAt);
   if (from !== undefined && from !== own) {
     heard.set(from, now);
   }
--- a/packages/membership/src/MembershipService.ts
+++ b/packages/membership/src/MembershipService.ts
@@ -59,7 +59,7 @@
   /** Takes in the payload of an envelope of kind Gossip. Garbage is counted and dropped. */
   receive(payload: unknown): void;
   /** Takes in a reading of the platform's instance list: entry instances only. */
-  readList(instances: readonly ListedInstance[]): void;
+  applyInstanceList(instances: readonly ListedInstance[]): void;
   /** When to read the platform's list next, from now; jitter it. */
   getListPeriod(): Millis;
   /** A connection to the instance was refused or broke. */
@@ -142,7 +142,7 @@
 
   return {
     receive,
-    readList: (instances) => step({ kind: 'listed', instances }),
+    applyInstanceList: (instances) => step({ kind: 'listed', instances }),
     getListPeriod: () => getListPeriod(state),
     reportConnectionLost: (id) => step({ kind: 'connection-lost', id }),
     getLiveInstances: (domain) => getLiveInstances(state, domain),
--- a/packages/membership/src/MembershipState.ts
+++ b/packages/membership/src/MembershipState.ts
@@ -17,7 +17,7 @@
   /** Time after which a probe without an answer has failed. */
   readonly probeTimeout: Millis;
   /** Instances asked, each time, to probe on our behalf. */
-  readonly relays: number;
+  readonly indirectProbers: number;
   readonly suspicionMin: Millis;
   /** Suspicion lasts this long times the decimal logarithm of the domain's size. */
   readonly suspicionScale: Millis;
@@ -34,7 +34,7 @@
   /** A domain not heard of for this long counts as cut off. */
   readonly domainTimeout: Millis;
   /** Time between two tries to reach an instance that is listed, or was declared dead. */
-  readonly repairPeriod: Millis;
+  readonly reconnectPeriod: Millis;
   /** Least time between two comparisons of whole views that we start. */
   readonly syncPeriod: Millis;
   /** How long a dead instance is remembered, so that old news cannot bring it back. */
@@ -52,7 +52,7 @@
   tick: 125,
   probePeriod: 500,
   probeTimeout: 1000,
-  relays: 3,
+  indirectProbers: 3,
   suspicionMin: 2500,
   suspicionScale: 1500,
   lostSuspicion: 1000,
@@ -61,7 +61,7 @@
   contactPeriod: 1000,
   contacts: 2,
   domainTimeout: 12_000,
-  repairPeriod: 2000,
+  reconnectPeriod: 2000,
   syncPeriod: 2000,
   tombstoneTime: 24 * 3_600_000,
   recordsPerSync: 96,
@@ -92,7 +92,7 @@
 }
 
 /** A probe that we make for another instance. */
-export interface RelayedProbe {
+export interface IndirectProbe {
   readonly seq: number;
   readonly origin: InstanceId;
   readonly originSeq: number;
@@ -104,7 +104,7 @@
   readonly since: Millis;
   readonly deadline: Millis;
   /** Direct questions put to the suspect so far. */
-  readonly checks: number;
+  readonly pingsSent: number;
 }
 
 /** A change that is still passed on with other messages. */
@@ -121,24 +121,24 @@
   readonly listed: ReadonlyMap<InstanceId, ListedInstance>;
   readonly listedDomains: ReadonlySet<DomainId>;
   /** Those of our own domain. */
-  readonly listedNear: readonly ListedInstance[];
+  readonly listedInDomain: readonly ListedInstance[];
   readonly suspicions: ReadonlyMap<InstanceId, Suspicion>;
   /** Members to which a connection broke or was refused, until they answer again. */
   readonly lost: ReadonlySet<InstanceId>;
   readonly updates: readonly QueuedUpdate[];
   readonly probes: readonly Probe[];
-  readonly relayed: readonly RelayedProbe[];
+  readonly indirectProbes: readonly IndirectProbe[];
   /** Members still to be probed in this round, in random order. */
   readonly probeOrder: readonly InstanceId[];
   /** When each other domain was last heard of, directly or by hearsay. */
-  readonly heard: ReadonlyMap<DomainId, Millis>;
+  readonly domainSeenAt: ReadonlyMap<DomainId, Millis>;
   readonly reachable: ReadonlySet<DomainId>;
   readonly nextSeq: number;
   readonly startedAt: Millis;
   readonly lastTick: Millis;
   readonly nextProbeAt: Millis;
   readonly nextContactAt: Millis;
-  readonly nextRepairAt: Millis;
+  readonly nextReconnectAt: Millis;
   readonly nextSyncAt: Millis;
   readonly viewChangedAt: Millis;
 }
@@ -174,21 +174,21 @@
     members: new Map([[self.id, createMember(self, now)]]),
     listed: new Map(),
     listedDomains: new Set(),
-    listedNear: [],
+    listedInDomain: [],
     suspicions: new Map(),
     lost: new Set(),
     updates: [{ id: self.id, sends: 0 }],
     probes: [],
-    relayed: [],
+    indirectProbes: [],
     probeOrder: [],
-    heard: new Map(),
+    domainSeenAt: new Map(),
     reachable: new Set([self.domain]),
     nextSeq: 1,
     startedAt: now,
     lastTick: now,
     nextProbeAt: now,
     nextContactAt: now,
-    nextRepairAt: now,
+    nextReconnectAt: now,
     nextSyncAt: now,
     viewChangedAt: now,
   };
--- a/packages/membership/src/MembershipSync.ts
+++ b/packages/membership/src/MembershipSync.ts
@@ -69,7 +69,7 @@
 }
 
 /** Sends the records that another instance asked for by their hashes. */
-export function answerWanted(
+export function sendWantedRecords(
   state: MembershipState,
   ctx: StepContext,
   from: InstanceId,
@@ -109,11 +109,11 @@
  * Tries to reach an instance that is listed but unknown, or was declared dead. After a partition both
  * sides hold each other dead and would otherwise never speak again.
  */
-export function repairView(state: MembershipState, ctx: StepContext): MembershipStep {
-  if (ctx.now < state.nextRepairAt) {
+export function reconnectMembers(state: MembershipState, ctx: StepContext): MembershipStep {
+  if (ctx.now < state.nextReconnectAt) {
     return createStep(state);
   }
-  const next = { ...state, nextRepairAt: ctx.now + state.cfg.repairPeriod };
+  const next = { ...state, nextReconnectAt: ctx.now + state.cfg.reconnectPeriod };
   const candidates = getRepairCandidates(next, ctx.now);
   const isAlone = getDomainView(next.members, next.self.domain).present.length <= 1;
   const tries = Math.min(candidates.length, isAlone ? FIRST_CONTACTS : 1);
@@ -185,7 +185,7 @@
 
 function getRepairCandidates(state: MembershipState, now: Millis): readonly ListedInstance[] {
   const { self, members } = state;
-  const listed = state.listedNear.filter(({ id }) => {
+  const listed = state.listedInDomain.filter(({ id }) => {
     const known = members.get(id)?.record;
     return !known || isDead(known);
   });
--- a/packages/membership/src/MembershipWire.ts
+++ b/packages/membership/src/MembershipWire.ts
@@ -24,7 +24,7 @@
 }
 
 /** A whole number from 0 up to `limit`, included. */
-export function readWhole(value: unknown, limit = Number.MAX_SAFE_INTEGER): number {
+export function readUnsignedInteger(value: unknown, limit = Number.MAX_SAFE_INTEGER): number {
   if (typeof value !== 'number' || !Number.isInteger(value) || value < 0 || value > limit) {
     throw new WireError('not a whole number in range');
   }
@@ -39,7 +39,7 @@
 }
 
 export function readPhase(value: unknown): LifeStateName {
-  return readWhole(value, 1) === 1 ? LifeState.Leaving : LifeState.Live;
+  return readUnsignedInteger(value, 1) === 1 ? LifeState.Leaving : LifeState.Live;
 }
 
 export function writePhase(phase: LifeStateName): number {
--- a/packages/membership/src/VirtualFleet.ts
+++ b/packages/membership/src/VirtualFleet.ts
@@ -43,7 +43,7 @@
   getInstances(): readonly VirtualInstance[];
   get(id: InstanceId): VirtualInstance;
   /** Lets each instance know of all others at once, so that a large fleet need not find itself first. */
-  settle(): void;
+  convergeViews(): void;
   /** Starts an instance that was not there, or starts one anew at the same address. */
   start(listed: ListedInstance, incarnation?: number): void;
   /** Ends an instance without a word. With `closes`, the others of its domain see connections break. */
@@ -54,9 +54,9 @@
   pause(id: InstanceId, time: Millis): void;
   setLoss(share: number): void;
   /** Says which messages pass; null lets all pass. */
-  setCut(cut: ((from: ListedInstance, to: ListedInstance) => boolean) | null): void;
+  setLinkFilter(cut: ((from: ListedInstance, to: ListedInstance) => boolean) | null): void;
   /** Whether the platform's list can be read. */
-  setListUp(isUp: boolean): void;
+  setListAvailable(isUp: boolean): void;
   /** Delivers bytes to an instance as if they came over the network. */
   deliver(to: InstanceId, bytes: Uint8Array): void;
 }
@@ -76,7 +76,7 @@
 const FIRST_PORT = 20_000;
 
 /** Names an instance of a virtual domain. */
-export function createListed(domain: DomainId, number: number): ListedInstance {
+export function createListedInstance(domain: DomainId, number: number): ListedInstance {
   const domainNumber = Number(domain.slice(1));
   return {
     id: `${domain}-i${number}`,
@@ -142,7 +142,7 @@
           seen.delete(listed.id);
         }
       }
-      instance.membership.readList([...seen.values()]);
+      instance.membership.applyInstanceList([...seen.values()]);
     }
   }
 
@@ -204,7 +204,7 @@
 
   options.domainSizes.forEach((size, domain) => {
     for (let number = 0; number < size; number++) {
-      const listed = createListed(`d${domain}`, number);
+      const listed = createListedInstance(`d${domain}`, number);
       list.push({ at: -1e9, listed, isUp: true });
       timers.registerTimeout(random.nextFloat() * 1000, () => start(listed));
     }
@@ -215,7 +215,7 @@
     advance: (time) => timers.advanceTo(timers.now() + time),
     getInstances: () => [...running.values()],
     get,
-    settle,
+    convergeViews: settle,
     start,
     crash,
     leave(id, grace) {
@@ -231,10 +231,10 @@
     setLoss(share) {
       loss = share;
     },
-    setCut(next) {
+    setLinkFilter(next) {
       cut = next;
     },
-    setListUp(isUp) {
+    setListAvailable(isUp) {
       isListUp = isUp;
     },
     deliver,
--- a/packages/membership/src/__tests__/unit/MembershipCache.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipCache.test.ts
@@ -3,9 +3,9 @@
 import {
   applyCacheEvent,
   createCacheSketch,
-  createCacheSpread,
+  createCacheGossip,
   encodeSketch,
-  readSketch,
+  getSketchConfidence,
 } from '../../MembershipCache.js';
 
 function createStored(number: number, prefix: string): CacheEvent {
@@ -16,16 +16,16 @@
   it('trusts a sketch less after a gap, and wins trust back by events in order', () => {
     // Guards against a sketch of an engine's cache that is believed though an event of it was lost.
     let sketch = applyCacheEvent(createCacheSketch(), createStored(1, 'p'), 0);
-    expect(readSketch(encodeSketch(sketch), 'p')).to.equal(1);
+    expect(getSketchConfidence(encodeSketch(sketch), 'p')).to.equal(1);
     sketch = applyCacheEvent(sketch, createStored(5, 'q'), 1);
-    expect(readSketch(encodeSketch(sketch), 'p')).to.be.closeTo(0.5, 0.01);
+    expect(getSketchConfidence(encodeSketch(sketch), 'p')).to.be.closeTo(0.5, 0.01);
     expect(applyCacheEvent(sketch, createStored(4, 'late'), 2)).to.equal(sketch);
     for (let number = 6; number < 16; number++) {
       sketch = applyCacheEvent(sketch, createStored(number, 'q'), number);
     }
-    expect(readSketch(encodeSketch(sketch), 'p')).to.be.above(0.95);
+    expect(getSketchConfidence(encodeSketch(sketch), 'p')).to.be.above(0.95);
     sketch = applyCacheEvent(sketch, { number: 16, kind: 'cleared', prefix: '' }, 20);
-    expect(readSketch(encodeSketch(sketch), 'q')).to.equal(0);
+    expect(getSketchConfidence(encodeSketch(sketch), 'q')).to.equal(0);
   });
 
   it('spreads the most used prefixes in 17 bytes', () => {
@@ -35,29 +35,29 @@
       sketch = applyCacheEvent(sketch, createStored(number, prefix), number);
     }
     expect(encodeSketch(sketch)).to.have.length(17);
-    expect(readSketch(encodeSketch(sketch), 'hot')).to.equal(1);
+    expect(getSketchConfidence(encodeSketch(sketch), 'hot')).to.equal(1);
     expect(sketch.prefixes.size).to.be.at.most(512);
   });
 
   it('lets what answers show stand over an older digest, and digests fade', () => {
-    const owner = createCacheSpread();
-    const other = createCacheSpread();
+    const owner = createCacheGossip();
+    const other = createCacheGossip();
     owner.recordEvent('e1', createStored(1, 'p'), 0);
-    owner.spreadSketch('e1', 0);
+    owner.publishSketch('e1', 0);
     other.topic.merge(owner.topic.collect(100, 'other', 0) ?? new Uint8Array(0), 'owner', 0);
-    expect(other.getChance('e1', 'p', 0)).to.equal(1);
-    expect(other.getChance('e1', 'p', 90_000)).to.be.closeTo(0.5, 0.01);
+    expect(other.getHitProbability('e1', 'p', 0)).to.equal(1);
+    expect(other.getHitProbability('e1', 'p', 90_000)).to.be.closeTo(0.5, 0.01);
     other.recordSample('e1', 'p', false, 10_000);
-    expect(other.getChance('e1', 'p', 10_000)).to.equal(0);
+    expect(other.getHitProbability('e1', 'p', 10_000)).to.equal(0);
     owner.recordEvent('e1', createStored(2, 'p'), 60_000);
-    owner.spreadSketch('e1', 60_000);
+    owner.publishSketch('e1', 60_000);
     other.topic.merge(
       owner.topic.collect(100, 'other', 60_000) ?? new Uint8Array(0),
       'owner',
       60_000,
     );
-    expect(other.getChance('e1', 'p', 60_000)).to.be.closeTo(0.9, 0.01);
+    expect(other.getHitProbability('e1', 'p', 60_000)).to.be.closeTo(0.9, 0.01);
     other.recordSample('e1', 'unheard', true, 60_000);
-    expect(other.getChance('e1', 'unheard', 60_000)).to.equal(1);
+    expect(other.getHitProbability('e1', 'unheard', 60_000)).to.equal(1);
   });
 });
--- a/packages/membership/src/__tests__/unit/MembershipDuties.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipDuties.test.ts
@@ -72,10 +72,10 @@
   it('has two holders while a domain is cut in halves, and one again afterwards', () => {
     const shared = createDutyFleet(3, 10);
     const isLeft = (id: string) => Number(id.slice(4)) < 5;
-    shared.fleet.setCut((from, to) => isLeft(from.id) === isLeft(to.id));
+    shared.fleet.setLinkFilter((from, to) => isLeft(from.id) === isLeft(to.id));
     shared.fleet.advance(15_000);
     expect(countHolders(shared).every((count) => count === 2)).to.equal(true);
-    shared.fleet.setCut(null);
+    shared.fleet.setLinkFilter(null);
     shared.fleet.advance(25_000);
     expect(countHolders(shared).every((count) => count === 1)).to.equal(true);
   });
--- a/packages/membership/src/__tests__/unit/MembershipLoad.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipLoad.test.ts
@@ -2,17 +2,17 @@
 import type { EngineLoad } from '@skylarksail/core/CoreEngine';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { expect } from 'chai';
-import { decodeAge, encodeAge, mergeAged, takeDigest } from '../../MembershipAged.js';
+import { decodeAge, encodeAge, mergeDigest, collectDigest } from '../../MembershipGossipTable.js';
 import {
-  createLoadSpread,
+  createLoadGossip,
   createLoadTable,
   decodeLoad,
   encodeLoad,
   getLoad,
   recordLoad,
 } from '../../MembershipLoad.js';
-import { createDigestSpread } from '../../MembershipDigests.js';
-import type { DigestSpread } from '../../MembershipDigests.js';
+import { createDigestGossip } from '../../MembershipDigests.js';
+import type { DigestGossip } from '../../MembershipDigests.js';
 import { createTopicTable, TopicNumber } from '../../MembershipTopics.js';
 import { createVirtualFleet } from '../../VirtualFleet.js';
 
@@ -56,7 +56,7 @@
     for (let hop = 0; hop < 8; hop++) {
       now += random.nextInt(400);
       const next = createLoadTable();
-      mergeAged(next, takeDigest(table, 100, 'next', now), 'last', now);
+      mergeDigest(next, collectDigest(table, 100, 'next', now), 'last', now);
       table = next;
     }
     expect(getLoad(table, 'e1')?.seenAt).to.be.at.most(1000);
@@ -68,20 +68,20 @@
     const newer = createLoadTable();
     recordLoad(older, createLoad({ running: 1 }), 1000);
     recordLoad(newer, createLoad({ running: 9 }), 5000);
-    const [first, second] = [older, newer].map((table) => takeDigest(table, 100, 'x', 6000));
+    const [first, second] = [older, newer].map((table) => collectDigest(table, 100, 'x', 6000));
     for (const digests of [
       [first, second],
       [second, first],
     ]) {
       const table = createLoadTable();
-      digests.forEach((bytes) => mergeAged(table, bytes as Uint8Array, 'from', 6000));
+      digests.forEach((bytes) => mergeDigest(table, bytes as Uint8Array, 'from', 6000));
       expect(getLoad(table, 'e1')?.running).to.equal(9);
     }
   });
 
   it('keeps to its bytes a second, and drops digests that are cut off', () => {
     const topics = createTopicTable();
-    const loads = createLoadSpread();
+    const loads = createLoadGossip();
     topics.registerTopic(loads.topic);
     const sizes: number[] = [];
     for (let now = 0; now < 60_000; now += 50) {
@@ -100,18 +100,18 @@
 
 describe('MembershipDigests', () => {
   it('brings a small value to all instances of all domains, and forgets it in time', () => {
-    const spreads = new Map<string, DigestSpread<{ crashes: number }>>();
+    const spreads = new Map<string, DigestGossip<{ crashes: number }>>();
     const fleet = createVirtualFleet({
       seed: 2,
       domainSizes: [8, 8, 8],
       loss: 0.1,
       onStart({ listed, membership }) {
-        const spread = createDigestSpread<{ crashes: number }>({
+        const spread = createDigestGossip<{ crashes: number }>({
           topic: TopicNumber.Poison,
           bytesPerSecond: 100,
           bytesPerMessage: 100,
           crossesDomains: true,
-          forgetAfter: 60_000,
+          retention: 60_000,
         });
         membership.registerTopic(spread.topic);
         spreads.set(listed.id, spread);
--- a/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
@@ -5,7 +5,7 @@
 import { GossipKind } from '../../MembershipMessages.js';
 import type { MembershipChange } from '../../MembershipService.js';
 import type { VirtualFleet, VirtualFleetOptions } from '../../VirtualFleet.js';
-import { createListed, createVirtualFleet } from '../../VirtualFleet.js';
+import { createListedInstance, createVirtualFleet } from '../../VirtualFleet.js';
 
 interface Seen {
   readonly observer: string;
@@ -129,7 +129,7 @@
     expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
     expect(countViews(fleet)).to.deep.equal([6]);
     fleet.getInstances().forEach(({ membership }) => {
-      const heard = [...membership.getState().heard.values()];
+      const heard = [...membership.getState().domainSeenAt.values()];
       expect(Math.max(...heard)).to.be.at.most(fleet.timers.now());
     });
   });
@@ -138,11 +138,11 @@
     // Guards against a list of deaths from the other half that outranks what was seen.
     const { fleet, seen } = createSettled({ seed: 6, domainSizes: [20] });
     const isLeft = (id: string) => Number(id.slice(4)) < 10;
-    fleet.setCut((from, to) => isLeft(from.id) === isLeft(to.id));
+    fleet.setLinkFilter((from, to) => isLeft(from.id) === isLeft(to.id));
     fleet.advance(30_000);
     expect(countViews(fleet)).to.deep.equal([10]);
     seen.length = 0;
-    fleet.setCut(null);
+    fleet.setLinkFilter(null);
     fleet.advance(30_000);
     expect(countViews(fleet)).to.deep.equal([20]);
     expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
@@ -150,13 +150,13 @@
 
   it('says that a domain is cut off, keeps its members, and hears of it again', () => {
     const { fleet, seen } = createSettled({ seed: 7, domainSizes: [6, 6, 6] });
-    fleet.setCut((from, to) => from.domain === to.domain || ![from, to].some(isInFirst));
+    fleet.setLinkFilter((from, to) => from.domain === to.domain || ![from, to].some(isInFirst));
     fleet.advance(30_000);
     expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
     expect(new Set(select(seen, 'cut-off').map(({ observer }) => observer)).size).to.equal(18);
     expect(fleet.get('d0-i0').membership.getLiveInstances()).to.have.length(6);
     expect(fleet.get('d1-i0').membership.getLiveInstances()).to.have.length(12);
-    fleet.setCut(null);
+    fleet.setLinkFilter(null);
     fleet.advance(15_000);
     expect(countViews(fleet)).to.deep.equal([18]);
   });
@@ -164,18 +164,18 @@
   it('merges a cut domain whose members were all restarted meanwhile, with the list down', () => {
     // Guards against two sides that hold only old incarnations of each other, and never meet again.
     const { fleet } = createSettled({ seed: 8, domainSizes: [5, 5] });
-    fleet.setCut((from, to) => from.domain === to.domain);
+    fleet.setLinkFilter((from, to) => from.domain === to.domain);
     fleet.advance(20_000);
-    fleet.setListUp(false);
+    fleet.setListAvailable(false);
     for (let number = 0; number < 5; number++) {
       // The first is not restarted, so that somebody in the domain can be found without the list.
       if (number > 0) {
-        fleet.start(createListed('d0', number), 1);
+        fleet.start(createListedInstance('d0', number), 1);
       }
       fleet.advance(3000);
     }
     fleet.advance(5000);
-    fleet.setCut(null);
+    fleet.setLinkFilter(null);
     fleet.advance(25_000);
     expect(countViews(fleet)).to.deep.equal([10]);
     const known = fleet.get('d1-i0').membership.getInstance('d0-i2');
@@ -185,7 +185,7 @@
   it('takes a restart at the same address for a new start, though its clock was set back', () => {
     const { fleet, seen } = createSettled({ seed: 9, domainSizes: [9] });
     const before = fleet.get('d0-i1').membership.getState().self;
-    fleet.start(createListed('d0', 1), 0);
+    fleet.start(createListedInstance('d0', 1), 0);
     fleet.advance(8000);
     expect(
       new Set(select(seen, MemberChangeKind.Restarted, 'd0-i1').map((one) => one.observer)).size,
@@ -202,7 +202,7 @@
     for (let number = 0; number < 12; number += 2) {
       for (const domain of ['d0', 'd1']) {
         fleet.crash(`${domain}-i${number}`);
-        fleet.start(createListed(domain, 100 + number));
+        fleet.start(createListedInstance(domain, 100 + number));
         fleet.advance(3000);
       }
     }
@@ -260,7 +260,7 @@
     ].map((domainSizes) => {
       const fleet = createVirtualFleet({ seed: 15, domainSizes });
       fleet.advance(1500);
-      fleet.settle();
+      fleet.convergeViews();
       fleet.advance(25_000);
       const before = countBytes(fleet, 'd0');
       fleet.advance(20_000);
--- a/packages/proof/src/HistoryFaults.ts
+++ b/packages/proof/src/HistoryFaults.ts
@@ -158,7 +158,7 @@
   }
   if (fault.kind === HistoryFaultKind.DomainCut) {
     const domain = getCutDomain(fault);
-    manifests.setCut(domain, conditions.isDomainCut(domain));
+    manifests.setPartitioned(domain, conditions.isDomainCut(domain));
     timers.registerTimeout(REACH_LAG, () => tellReach(world));
   }
   HISTORY_MEMBERS.forEach(({ id, domain }) =>
--- a/packages/stand-ins/src/StandInEngine.ts
+++ b/packages/stand-ins/src/StandInEngine.ts
@@ -8,7 +8,7 @@
 import type { EngineFrame, ForwardBody, GenerateBody } from './StandInEngineProtocol.js';
 import { forwardSchema, generateSchema, orderSchema } from './StandInEngineProtocol.js';
 import type { Fault } from './StandInFaults.js';
-import { createFaultBoard } from './StandInFaults.js';
+import { createFaultInjector } from './StandInFaults.js';
 import type { Ledger, LayerPass } from './StandInLedger.js';
 import { createLedger } from './StandInLedger.js';
 import { computeAnswerLength, computePromptSeed, computeToken } from './StandInModel.js';
@@ -53,7 +53,7 @@
 
 export async function startStandInEngine(options: StandInEngineOptions): Promise<StandInEngine> {
   const { facts } = options;
-  const faults = createFaultBoard(() => performance.now());
+  const faults = createFaultInjector(() => performance.now());
   const ledger = createLedger<LayerPass>();
   const agent = new Agent({ connections: 64, pipelining: 1 });
   let holding: Holding | null = options.holding;
@@ -66,7 +66,7 @@
   let takenOrders = 0;
 
   function readLoad(): EngineLoad {
-    const state: LifeStateName = faults.isOn('leaving') ? 'leaving' : 'live';
+    const state: LifeStateName = faults.isActive('leaving') ? 'leaving' : 'live';
     return {
       engine: facts.id,
       bootId: `${facts.id}/${boots}`,
@@ -80,7 +80,7 @@
   }
 
   async function waitWhileHanging(): Promise<void> {
-    while (faults.isOn('hang')) {
+    while (faults.isActive('hang')) {
       await sleep(HANG_POLL_MS);
     }
   }
@@ -88,13 +88,13 @@
   /** Runs this engine's layers for one token, or for the prompt. */
   async function runLayers(body: ForwardBody): Promise<void> {
     const own = body.stages[body.stage];
-    const crashOn = faults.isOn('crash-on') ? faults.take('crash-on') : null;
+    const crashOn = faults.isActive('crash-on') ? faults.consume('crash-on') : null;
     if (crashOn?.text !== undefined && body.crashText.includes(crashOn.text)) {
       void server.crash(crashOn.ms ?? null);
       throw new StageFailure(facts.id, null);
     }
     await waitWhileHanging();
-    const slow = faults.take('slow')?.factor ?? 1;
+    const slow = faults.consume('slow')?.factor ?? 1;
     const layers = (own?.layers.end ?? 0) - (own?.layers.first ?? 0);
     const work =
       body.token === PREFILL_PROMPT
@@ -201,9 +201,9 @@
       }
       let text = `${JSON.stringify(frame)}\n`;
       if (frame.type === 'token') {
-        text += faults.take('duplicate-frames') ? text : '';
-        text = faults.take('garbage') ? 'not a frame {\n' : text;
-        if (held === null && faults.take('reorder-frames')) {
+        text += faults.consume('duplicate-frames') ? text : '';
+        text = faults.consume('garbage') ? 'not a frame {\n' : text;
+        if (held === null && faults.consume('reorder-frames')) {
           held = text;
           return true;
         }
@@ -264,7 +264,7 @@
     holding = null;
     await sleep(layers * options.loadMsPerLayer);
     holding = order.want;
-    if (faults.take('drop-answer')) {
+    if (faults.consume('drop-answer')) {
       reply.raw.destroy();
       return reply;
     }
--- a/packages/stand-ins/src/StandInFaults.ts
+++ b/packages/stand-ins/src/StandInFaults.ts
@@ -36,16 +36,16 @@
 }
 
 /** The faults of one stand-in. */
-export interface FaultBoard {
+export interface FaultInjector {
   set(fault: Fault): void;
   /** The fault if it is on; uses one of its counts. */
-  take(kind: FaultKind): Fault | null;
-  isOn(kind: FaultKind): boolean;
+  consume(kind: FaultKind): Fault | null;
+  isActive(kind: FaultKind): boolean;
   clear(): void;
 }
 
 /** Creates a board with no fault on it; `now` gives milliseconds. */
-export function createFaultBoard(now: () => number): FaultBoard {
+export function createFaultInjector(now: () => number): FaultInjector {
   const active = new Map<FaultKind, ActiveFault>();
 
   function find(kind: FaultKind): ActiveFault | null {
@@ -68,7 +68,7 @@
         usesLeft: fault.count ?? Infinity,
       });
     },
-    take(kind) {
+    consume(kind) {
       const found = find(kind);
       if (!found) {
         return null;
@@ -76,7 +76,7 @@
       found.usesLeft -= 1;
       return found.fault;
     },
-    isOn: (kind) => find(kind) !== null,
+    isActive: (kind) => find(kind) !== null,
     clear: () => active.clear(),
   };
 }
--- a/packages/stand-ins/src/StandInLedger.ts
+++ b/packages/stand-ins/src/StandInLedger.ts
@@ -50,7 +50,7 @@
 }
 
 /** What is wrong with the passes of one request, in words; empty if nothing is. */
-export function findLayerFaults(
+export function findLayerViolations(
   passes: readonly LayerPass[],
   layerCount: number,
   deliveredTokens: number,
--- a/packages/stand-ins/src/StandInPlatform.ts
+++ b/packages/stand-ins/src/StandInPlatform.ts
@@ -5,7 +5,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { FastifyInstance, FastifyReply } from 'fastify';
 import { z } from 'zod';
-import { createFaultBoard } from './StandInFaults.js';
+import { createFaultInjector } from './StandInFaults.js';
 import type { StandInServer } from './StandInServer.js';
 import { startStandInServer } from './StandInServer.js';
 
@@ -58,7 +58,7 @@
 export async function startStandInPlatform(
   options: StandInPlatformOptions,
 ): Promise<StandInPlatform> {
-  const faults = createFaultBoard(() => performance.now());
+  const faults = createFaultInjector(() => performance.now());
   const values = new Map<string, Stored>();
   const leases = new Map<string, Lease>();
   const fencings = new Map<string, number>();
@@ -70,15 +70,15 @@
 
   /** Stands between a call and its effect or answer; true if the call is to be cut off. */
   async function passFaults(): Promise<boolean> {
-    const slow = faults.take('slow');
+    const slow = faults.consume('slow');
     if (slow) {
       await sleep(slow.factor ?? 1000);
     }
-    return faults.take('outage') !== null;
+    return faults.consume('outage') !== null;
   }
 
   function hideAnswer(reply: FastifyReply): boolean {
-    if (!faults.take('drop-answer')) {
+    if (!faults.consume('drop-answer')) {
       return false;
     }
     reply.raw.destroy();
@@ -141,8 +141,8 @@
   }
 
   function readLaggingList(): readonly ListedInstance[] {
-    const lag = faults.isOn('lagging-list')
-      ? (faults.take('lagging-list')?.factor ?? options.listLagMs)
+    const lag = faults.isActive('lagging-list')
+      ? (faults.consume('lagging-list')?.factor ?? options.listLagMs)
       : options.listLagMs;
     const limit = performance.now() - lag;
     const old = listHistory.filter(({ at }) => at <= limit).at(-1);
@@ -161,7 +161,7 @@
         }
         if (known !== undefined) {
           await waitForChange(key, Number(known), Number(waitMs ?? 0));
-          if (faults.isOn('outage')) {
+          if (faults.isActive('outage')) {
             return reply.raw.destroy();
           }
         }
@@ -178,7 +178,7 @@
         return reply.code(STATUS_TOO_LARGE).send({});
       }
       const key = req.params['*'];
-      const late = faults.take('late-effect');
+      const late = faults.consume('late-effect');
       if (late) {
         setTimeout(() => writeEntry(key, expected, value), late.factor ?? 1000);
         return reply.raw.destroy();
--- a/packages/stand-ins/src/StandInServer.ts
+++ b/packages/stand-ins/src/StandInServer.ts
@@ -2,7 +2,7 @@
 import fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
 import type { HostPort } from '@skylarksail/core/CoreTypes';
-import type { Fault, FaultBoard } from './StandInFaults.js';
+import type { Fault, FaultInjector } from './StandInFaults.js';
 import { faultSchema } from './StandInFaults.js';
 
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
@@ -20,7 +20,7 @@
   readonly host: string;
   /** 0 lets the system choose. */
   readonly port: number;
-  readonly faults: FaultBoard;
+  readonly faults: FaultInjector;
   readonly registerRoutes: (app: FastifyInstance) => void;
   readonly readLedger: () => unknown;
   readonly onFault?: (fault: Fault) => void;
--- a/packages/stand-ins/src/StandInService.ts
+++ b/packages/stand-ins/src/StandInService.ts
@@ -1,7 +1,7 @@
 /** A stand-in for a plain service: counts what it carries out and answers with the count. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
-import { createFaultBoard } from './StandInFaults.js';
+import { createFaultInjector } from './StandInFaults.js';
 import type { Ledger, ServiceEffect } from './StandInLedger.js';
 import { createLedger } from './StandInLedger.js';
 import type { StandInServer } from './StandInServer.js';
@@ -24,15 +24,15 @@
 }
 
 export async function startStandInService(options: StandInServiceOptions): Promise<StandInService> {
-  const faults = createFaultBoard(() => performance.now());
+  const faults = createFaultInjector(() => performance.now());
   const ledger = createLedger<ServiceEffect>();
   let effects = 0;
 
   async function handleCall(req: FastifyRequest, reply: FastifyReply): Promise<unknown> {
-    while (faults.isOn('hang')) {
+    while (faults.isActive('hang')) {
       await sleep(HANG_POLL_MS);
     }
-    await sleep(options.workMs * (faults.take('slow')?.factor ?? 1));
+    await sleep(options.workMs * (faults.consume('slow')?.factor ?? 1));
     effects += 1;
     const key = req.headers['idempotency-key'];
     ledger.record({
@@ -42,7 +42,7 @@
       path: req.url,
       key: typeof key === 'string' ? key : null,
     });
-    if (faults.take('drop-answer')) {
+    if (faults.consume('drop-answer')) {
       reply.raw.destroy();
       return reply;
     }
@@ -53,7 +53,7 @@
     app.addContentTypeParser('*', { parseAs: 'buffer' }, (_req, body, done) => done(null, body));
     app.get('/v1/status', () => ({
       service: options.id,
-      state: faults.isOn('leaving') ? 'leaving' : 'live',
+      state: faults.isActive('leaving') ? 'leaving' : 'live',
     }));
     app.all('/*', handleCall);
   }
--- a/packages/stand-ins/src/VirtualEngine.ts
+++ b/packages/stand-ins/src/VirtualEngine.ts
@@ -9,7 +9,7 @@
 import type { EngineFacts, EngineLoad, Holding } from '@skylarksail/core/CoreEngine';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis, RequestId } from '@skylarksail/core/CoreTypes';
-import type { VirtualItem, VirtualRun } from './VirtualRun.js';
+import type { VirtualWorkItem, VirtualRun } from './VirtualRun.js';
 
 /** Share of a full step's time that a step costs however few tokens it has. */
 const FIXED_STEP_SHARE = 0.3;
@@ -42,9 +42,9 @@
 
   private leavingSince = Infinity;
 
-  private decodes: VirtualItem[] = [];
+  private decodes: VirtualWorkItem[] = [];
 
-  private prefills: VirtualItem[] = [];
+  private prefills: VirtualWorkItem[] = [];
 
   private waiting: WaitingRun[] = [];
 
@@ -62,7 +62,7 @@
     readonly facts: EngineFacts,
     private currentHolding: Holding,
     private readonly timers: TimerService,
-    private readonly onComputed: (engine: VirtualEngine, items: readonly VirtualItem[]) => void,
+    private readonly onComputed: (engine: VirtualEngine, items: readonly VirtualWorkItem[]) => void,
   ) {}
 
   get holding(): Holding {
@@ -137,7 +137,7 @@
   }
 
   /** Tokens of the run's context that the engine holds: of an earlier attempt, or a shared prefix. */
-  countHeldTokens(run: VirtualRun): number {
+  countCachedTokens(run: VirtualRun): number {
     const kept = this.retained.get(run.call.request);
     if (kept && kept.until >= this.timers.now()) {
       return Math.min(kept.tokens, run.contextTokens);
@@ -161,7 +161,7 @@
     this.admitWaiting();
   }
 
-  enqueue(item: VirtualItem): void {
+  enqueue(item: VirtualWorkItem): void {
     if (this.isCrashed) {
       return;
     }
@@ -219,7 +219,7 @@
     this.timers.registerTimeout(this.getStepTime(items), () => this.endStep(boot, items));
   }
 
-  private endStep(boot: number, items: readonly VirtualItem[]): void {
+  private endStep(boot: number, items: readonly VirtualWorkItem[]): void {
     if (boot !== this.boot || this.isCrashed) {
       return;
     }
@@ -239,23 +239,23 @@
     this.planStep();
   }
 
-  private takePrefills(): readonly VirtualItem[] {
+  private takePrefills(): readonly VirtualWorkItem[] {
     let tokens = 0;
     let count = 0;
     while (count < this.prefills.length && tokens < PREFILL_TOKENS_PER_STEP) {
-      const item = this.prefills[count] as VirtualItem;
-      tokens += item.run.countComputed(item);
+      const item = this.prefills[count] as VirtualWorkItem;
+      tokens += item.run.countTokensToCompute(item);
       count += 1;
     }
     return this.prefills.splice(0, count);
   }
 
-  private getStepTime(items: readonly VirtualItem[]): Millis {
+  private getStepTime(items: readonly VirtualWorkItem[]): Millis {
     const { decodeLayerTokensPerSecond, prefillLayerTokensPerSecond, maxBatch } = this.facts;
     let decode = FIXED_STEP_SHARE * maxBatch * this.depth;
     let prompt = 0;
     for (const item of items) {
-      const work = item.run.countComputed(item) * item.run.getDepth(item.stage);
+      const work = item.run.countTokensToCompute(item) * item.run.getLayerCount(item.stage);
       if (item.prefill) {
         prompt += work;
       } else {
@@ -267,7 +267,7 @@
     return seconds * factor * MILLIS_PER_SECOND;
   }
 
-  private rememberPrefix({ run, end }: VirtualItem): void {
+  private rememberPrefix({ run, end }: VirtualWorkItem): void {
     const { prefixKey, prefixTokens } = run.prompt;
     if (prefixKey === null || end < prefixTokens) {
       return;
@@ -313,7 +313,7 @@
 
 /** Layers that a run uses of an engine. */
 function depthOf(run: VirtualRun, engine: EngineId): number {
-  return run.getDepth(run.call.chain.stages.findIndex((stage) => stage.engine === engine));
+  return run.getLayerCount(run.call.chain.stages.findIndex((stage) => stage.engine === engine));
 }
 
 /** Puts an entry behind all of the same or a higher priority. */
--- a/packages/stand-ins/src/VirtualFleet.ts
+++ b/packages/stand-ins/src/VirtualFleet.ts
@@ -17,7 +17,7 @@
 import { VirtualEngine } from './VirtualEngine.js';
 import type { GetLinkFault, GetVirtualLink } from './VirtualLinks.js';
 import { createVirtualLinks } from './VirtualLinks.js';
-import type { VirtualItem, VirtualPrompt } from './VirtualRun.js';
+import type { VirtualWorkItem, VirtualPrompt } from './VirtualRun.js';
 import { VirtualRun } from './VirtualRun.js';
 
 export interface VirtualEngineSpec {
@@ -61,7 +61,7 @@
 export interface VirtualLedger {
   readonly tokens: number;
   /** Tokens that met a stage out of the order of layers. */
-  readonly layerFaults: number;
+  readonly layerOrderViolations: number;
   /** Attempts that an engine took up more than 3 s after it began to leave. */
   readonly acceptedWhileLeaving: number;
   /** Attempts that were computed on, by request. */
@@ -173,9 +173,9 @@
     const { request, chain } = run.call;
     started.set(request, (started.get(request) ?? 0) + 1);
     timers.registerTimeout(options.entryDelayMs, () => run.acknowledge());
-    const held = chain.stages.map((stage) => getEngine(stage.engine).countHeldTokens(run));
+    const held = chain.stages.map((stage) => getEngine(stage.engine).countCachedTokens(run));
     importKv(run, held, (known) => {
-      run.setHeldTokens(known);
+      run.setCachedTokens(known);
       sendPrefill(run);
     });
   }
@@ -202,7 +202,7 @@
           layers.end === stage.layers.end,
       );
       const exporter = source && engines.get(source.engine);
-      const found = exporter && !exporter.isHung ? exporter.countHeldTokens(run) : 0;
+      const found = exporter && !exporter.isHung ? exporter.countCachedTokens(run) : 0;
       if (!exporter || found <= (held[i] ?? 0)) {
         return;
       }
@@ -223,13 +223,13 @@
     for (let start = 0; start < contextTokens; start += PREFILL_CHUNK_TOKENS) {
       const end = Math.min(start + PREFILL_CHUNK_TOKENS, contextTokens);
       const item = { run, stage: 0, start, end, layer: 0, prefill: true };
-      if (end === contextTokens || run.countComputed(item) > 0) {
+      if (end === contextTokens || run.countTokensToCompute(item) > 0) {
         engine?.enqueue(item);
       }
     }
   }
 
-  function handleComputed(engine: VirtualEngine, items: readonly VirtualItem[]): void {
+  function handleComputed(engine: VirtualEngine, items: readonly VirtualWorkItem[]): void {
     const poison = items.find(({ run }) => run.isOpen && options.isPoison(run.call));
     if (poison) {
       crash(engine);
@@ -243,7 +243,7 @@
   }
 
   /** Sends an item that a stage has computed to the next stage, or gives its token. */
-  function passOn(engine: VirtualEngine, item: VirtualItem): void {
+  function passOn(engine: VirtualEngine, item: VirtualWorkItem): void {
     const { run, stage } = item;
     const layers = run.call.chain.stages[stage]?.layers;
     if (!layers || layers.first !== item.layer) {
@@ -259,23 +259,23 @@
       return;
     }
     const isLast = end === run.contextTokens;
-    if (prefill && !isLast && run.countComputed(moved) === 0) {
+    if (prefill && !isLast && run.countTokensToCompute(moved) === 0) {
       return;
     }
-    const count = Math.max(1, run.countComputed(moved));
+    const count = Math.max(1, run.countTokensToCompute(moved));
     links.send(engine.facts, next.facts, count * options.activationBytes, () =>
       next.enqueue(moved),
     );
   }
 
-  function finishToken(last: VirtualEngine, item: VirtualItem): void {
+  function finishToken(last: VirtualEngine, item: VirtualWorkItem): void {
     const { run, end } = item;
     if (item.prefill && end < run.contextTokens) {
       return;
     }
     tokens += 1;
     const text = options.createToken(run.call, run.tokenCount);
-    if (run.giveToken(text)) {
+    if (run.emitToken(text)) {
       run.end();
       return;
     }
@@ -313,7 +313,7 @@
       return engine.isCrashed || engine.isHung ? null : engine.readLoad();
     },
     readPrefixes: (id) => getEngine(id).readPrefixes(),
-    readLedger: () => ({ tokens, layerFaults, acceptedWhileLeaving, started }),
+    readLedger: () => ({ tokens, layerOrderViolations: layerFaults, acceptedWhileLeaving, started }),
     setFault(id, fault) {
       if (fault.kind === 'crashed') {
         crash(getEngine(id));
--- a/packages/stand-ins/src/VirtualRun.ts
+++ b/packages/stand-ins/src/VirtualRun.ts
@@ -14,7 +14,7 @@
 }
 
 /** Tokens `[start, end)` of a sequence on their way through a stage. */
-export interface VirtualItem {
+export interface VirtualWorkItem {
   readonly run: VirtualRun;
   readonly stage: number;
   readonly start: number;
@@ -62,7 +62,7 @@
    * Takes what each stage already holds of the context. A stage needs the activations of every token
    * that a stage behind it misses, so what is missing there must run here too.
    */
-  setHeldTokens(held: readonly number[]): void {
+  setCachedTokens(held: readonly number[]): void {
     let need = 1;
     const needs = held.map(() => 1);
     for (let i = held.length - 1; i >= 0; i--) {
@@ -73,13 +73,13 @@
   }
 
   /** Layers that a stage runs. */
-  getDepth(stage: number): number {
+  getLayerCount(stage: number): number {
     const layers = this.call.chain.stages[stage]?.layers;
     return layers ? layers.end - layers.first : 0;
   }
 
   /** Tokens of an item that the stage must compute; the others are in its cache. */
-  countComputed({ stage, start, end, prefill }: VirtualItem): number {
+  countTokensToCompute({ stage, start, end, prefill }: VirtualWorkItem): number {
     if (!prefill) {
       return end - start;
     }
@@ -95,7 +95,7 @@
   }
 
   /** Gives the next token; true if it was the last one. */
-  giveToken(text: string): boolean {
+  emitToken(text: string): boolean {
     const index = this.produced;
     this.produced += 1;
     this.listener.onToken(index, text);
--- a/packages/stand-ins/src/__tests__/unit/VirtualFleet.test.ts
+++ b/packages/stand-ins/src/__tests__/unit/VirtualFleet.test.ts
@@ -91,7 +91,7 @@
     timers.advanceTo(5000);
     expect(heard).to.deep.equal(['acknowledged', 'length 20']);
     expect(tokens).to.deep.equal(Array.from({ length: 20 }, (_, i) => `${i}t${i}`));
-    expect(fleet.readLedger()).to.include({ tokens: 20, layerFaults: 0 });
+    expect(fleet.readLedger()).to.include({ tokens: 20, layerOrderViolations: 0 });
     expect(fleet.readLoads().map(({ running, kvUsed }) => running + kvUsed)).to.deep.equal([
       0, 0, 0,
     ]);
