--- a/packages/cli/src/CliClient.ts
+++ b/packages/cli/src/CliClient.ts
@@ -1,13 +1,13 @@
-/** Calls to the manifest interface of any instance; the next one is tried where one does not answer. */
+/** HTTP client of the admin interface that every instance serves. */
 import { request } from 'undici';
 import { ExitCode, createCliError } from './CliErrors.js';
 
-/** A first load of a large manifest takes most of a minute. */
+/** The first load of a large manifest takes most of a minute. */
 const TIMEOUT_MS = 70_000;
 const STATUS_UNAUTHORIZED = 401;
 const STATUS_OK = 200;
 
-/** Where the instances are and what proves the operator. */
+/** Admin addresses of the instances and the operator token. */
 export interface CliTarget {
   readonly servers: readonly string[];
   readonly token: string;
@@ -19,7 +19,6 @@
   readonly server: string;
 }
 
-/** One call. */
 export interface CliCall {
   readonly method: 'GET' | 'POST';
   readonly path: string;
@@ -27,8 +26,8 @@
 }
 
 /**
- * Sends a call to the first instance that answers. A call that may have taken effect can be sent again
- * to another instance: submissions carry an id, so that the second one gets the first one's result.
+ * Tries the instances in order and returns the first reply. A call without a reply may have taken effect, but can
+ * safely be resent to the next instance: submissions carry an id, and a repeated one gets the result of the first.
  */
 export async function callAnyServer(target: CliTarget, call: CliCall): Promise<CliReply> {
   const failures: string[] = [];
@@ -42,7 +41,7 @@
   throw createCliError(ExitCode.Unreachable, `no instance answered:\n  ${failures.join('\n  ')}`);
 }
 
-/** Sends a call to every instance and gives what each said; null for those that did not answer. */
+/** Sends a call to every instance and returns all replies; null for an instance that did not answer. */
 export async function callEveryServer(
   target: CliTarget,
   call: CliCall,
@@ -67,7 +66,7 @@
   return { status: res.statusCode, body: text === '' ? null : JSON.parse(text), server };
 }
 
-/** The body of a reply that must be a success. */
+/** Returns the body of a successful reply; throws if the status is not 200. */
 export function expectOk(reply: CliReply): unknown {
   if (reply.status === STATUS_UNAUTHORIZED) {
     throw createCliError(ExitCode.Unauthorized, 'the operator token was refused');
--- a/packages/cli/src/CliCompletion.ts
+++ b/packages/cli/src/CliCompletion.ts
@@ -1,7 +1,7 @@
-/** A bash completion script made from the commands themselves. */
+/** Generates a bash completion script from the registered commands. */
 import type { Command } from 'commander';
 
-/** Lists, for each command path, the words that may follow it. */
+/** The script offers, after each command path, the subcommands and options that may follow it. */
 export function createCompletionScript(program: Command): string {
   const cases = collectCommands(program, [])
     .map(({ path, words }) => `    "${path.join(' ')}") words="${words.join(' ')}" ;;`)
--- a/packages/cli/src/CliErrors.ts
+++ b/packages/cli/src/CliErrors.ts
@@ -1,7 +1,7 @@
-/** Errors of the command-line tool, each with the exit code that a build pipeline reads. */
+/** Errors of the command-line tool, each with an exit code for build pipelines. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Meaning of each exit code. */
+/** Exit codes; the help text explains each of them. */
 export const ExitCode = {
   Ok: 0,
   Failed: 1,
@@ -15,14 +15,14 @@
 
 export type ExitCodeNumber = (typeof ExitCode)[keyof typeof ExitCode];
 
-/** A failure that ends the command. */
+/** An error that ends the command; its property `exitCode` is the exit code of the process. */
 export const CliError = SkylarkError.subclass('CliError');
 
-/** Creates the error that ends the command with `exitCode`. */
 export function createCliError(exitCode: ExitCodeNumber, message: string): Error {
   return new CliError(message, { props: { exitCode } });
 }
 
+/** Returns the exit code for any thrown value; `Failed` if it is not a `CliError`. */
 export function getExitCode(err: unknown): ExitCodeNumber {
   const { exitCode } = (err ?? {}) as { exitCode?: ExitCodeNumber };
   return err instanceof CliError && exitCode !== undefined ? exitCode : ExitCode.Failed;
--- a/packages/cli/src/CliLedger.ts
+++ b/packages/cli/src/CliLedger.ts
@@ -1,4 +1,4 @@
-/** `ledger`: where a bad span of time went, from the saved logs of several instances. */
+/** The `ledger` command: counts lost and late requests by end and cause, from the saved logs of several instances. */
 import { writeFileSync } from 'node:fs';
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import { ExitCode, createCliError } from './CliErrors.js';
@@ -9,32 +9,32 @@
 import type { LedgerRequest, LogLine } from './LedgerRequests.js';
 import { LedgerCause, LedgerEnd, readLedgerRequests } from './LedgerRequests.js';
 
-/** Requests that were lost or late in one way for one cause. */
+/** The lost or late requests with the same end and cause. */
 export interface LedgerRow {
   readonly end: string;
   readonly cause: string;
   readonly requests: number;
-  /** Time from their arrival to their end, all together. */
+  /** Sum of the times from arrival to end. */
   readonly seconds: number;
-  /** Part of all requests. */
+  /** Share of all requests. */
   readonly share: number;
 }
 
-/** One failure domain in one second. */
+/** The requests and layer coverage of a failure domain in one second. */
 export interface LedgerSecond {
   readonly domain: string;
-  /** Seconds since the first line. */
+  /** Seconds since the first request. */
   readonly second: number;
   readonly requests: number;
-  /** Part of the requests that came in it and were answered on time; null if none came. */
+  /** Share of the requests that arrived in this second and were answered on time; null if none arrived. */
   readonly onTime: number | null;
-  /** Whether every layer was held in the domain; null if no line has said so yet. */
+  /** Whether every layer was held in the domain; null before the first log line about its coverage. */
   readonly isWhole: boolean | null;
 }
 
 export interface Ledger {
   readonly requests: number;
-  /** Requests that were not answered on time: the sum of the rows. */
+  /** Number of requests that were not answered on time, the sum over all rows. */
   readonly lost: number;
   readonly rows: readonly LedgerRow[];
   readonly seconds: readonly LedgerSecond[];
@@ -42,23 +42,23 @@
 
 const UNKNOWN_DOMAIN = 'unknown';
 
-/** Prints the ledger of the files, and draws it if a file for the picture is named. */
+/** Prints the ledger of the log files, and draws it into `svgFile` if that is given. */
 export async function showLedger(
   context: CliContext,
   files: readonly string[],
-  picture: string | undefined,
+  svgFile: string | undefined,
 ): Promise<void> {
   const ledger = createLedger(files.flatMap((file) => parseLog(readLog(file))));
   if (ledger.requests === 0) {
     throw createCliError(ExitCode.Failed, 'no line of these logs concerns a request');
   }
-  if (picture !== undefined) {
-    writeFileSync(picture, await drawLedger(ledger.seconds));
+  if (svgFile !== undefined) {
+    writeFileSync(svgFile, await drawLedger(ledger.seconds));
   }
   printResult(context.output, context.isJson(), ledger, formatLedger);
 }
 
-/** Adds up what became of all requests. Those that no route or key allows are left out. */
+/** Counts the requests by end and cause. Requests that no route or key allows are left out. */
 export function createLedger(unsorted: readonly LogLine[]): Ledger {
   const lines = [...unsorted].sort((a, b) => Number(a.time) - Number(b.time));
   const requests = readLedgerRequests(lines).filter(({ cause }) => cause !== LedgerCause.Rejected);
@@ -82,14 +82,14 @@
   return [...groups.values()]
     .flatMap((group) => {
       const [first] = group;
-      const time = group.reduce((sum, { startAt, endAt }) => sum + endAt - startAt, 0);
+      const totalMs = group.reduce((sum, { startAt, endAt }) => sum + endAt - startAt, 0);
       return first
         ? [
             {
               end: first.end,
               cause: first.cause,
               requests: group.length,
-              seconds: time / MILLIS_PER_SECOND,
+              seconds: totalMs / MILLIS_PER_SECOND,
               share: group.length / total,
             },
           ]
@@ -98,41 +98,45 @@
     .sort((a, b) => b.requests - a.requests);
 }
 
-/** Each domain's seconds, with what its instances said last of its layers. */
+/** Creates an entry for each second of each domain, with the last coverage that the domain's instances logged. */
 function createSeconds(
   lines: readonly LogLine[],
   requests: readonly LedgerRequest[],
 ): readonly LedgerSecond[] {
   const domains = readDomains(lines);
-  // Logs of a busy span hold more requests than a call takes arguments.
-  const first = requests.reduce((least, { startAt }) => Math.min(least, startAt), Infinity);
-  const last = requests.reduce((most, { startAt }) => Math.max(most, startAt), -Infinity);
+  // `Math.min(...times)` fails here: busy logs hold more requests than a function call accepts arguments.
+  const first = requests.reduce((min, { startAt }) => Math.min(min, startAt), Infinity);
+  const last = requests.reduce((max, { startAt }) => Math.max(max, startAt), -Infinity);
   if (requests.length === 0) {
     return [];
   }
   return [...new Set(domains.values())].sort().flatMap((domain) => {
     const own = requests.filter(({ instance }) => domains.get(instance) === domain);
-    const said = lines.filter((line) => line.msg === 'layers held' && line.domain === domain);
+    const coverageLines = lines.filter(
+      (line) => line.msg === 'layers held' && line.domain === domain,
+    );
     const count = Math.floor((last - first) / MILLIS_PER_SECOND) + 1;
     return Array.from({ length: count }, (_, second) => {
       const from = first + second * MILLIS_PER_SECOND;
-      const here = own.filter(
+      const arrivals = own.filter(
         ({ startAt }) => startAt >= from && startAt < from + MILLIS_PER_SECOND,
       );
-      const onTime = here.filter(({ end }) => end === LedgerEnd.OnTime).length;
-      const latest = said.findLast(({ time }) => Number(time) < from + MILLIS_PER_SECOND);
+      const onTime = arrivals.filter(({ end }) => end === LedgerEnd.OnTime).length;
+      const lastCoverage = coverageLines.findLast(
+        ({ time }) => Number(time) < from + MILLIS_PER_SECOND,
+      );
       return {
         domain,
         second,
-        requests: here.length,
-        onTime: here.length > 0 ? onTime / here.length : null,
-        isWhole: latest ? latest.missing === 0 : null,
+        requests: arrivals.length,
+        onTime: arrivals.length > 0 ? onTime / arrivals.length : null,
+        isWhole: lastCoverage ? lastCoverage.missing === 0 : null,
       };
     });
   });
 }
 
-/** The failure domain of each instance, from its first line. */
+/** Returns the failure domain of each instance, which its `started` line contains. */
 function readDomains(lines: readonly LogLine[]): ReadonlyMap<string, string> {
   const domains = new Map<string, string>();
   for (const { instance, msg, settings } of lines) {
--- a/packages/cli/src/CliLogs.ts
+++ b/packages/cli/src/CliLogs.ts
@@ -1,11 +1,11 @@
-/** `explain` from saved logs: the lines that concern one request, of all instances, in order. */
+/** The `explain --logs` command: shows the decisions on one request, from the saved logs of several instances. */
 import { readFileSync } from 'node:fs';
 import { createCliError, ExitCode } from './CliErrors.js';
 import type { CliContext } from './CliManifest.js';
 import { printResult } from './CliOutput.js';
 import type { LogLine } from './LedgerRequests.js';
 
-/** A log line that concerns a request. */
+/** A log line about a decision on a request. */
 export interface LogDecision {
   readonly time: number;
   readonly instance: string;
@@ -14,49 +14,57 @@
   readonly [field: string]: unknown;
 }
 
-/** What saved logs tell of a request. */
+/** The content of saved logs about one request id. */
 export interface RequestLog {
+  /** Oldest first. */
   readonly lines: readonly LogDecision[];
-  /** Attempts of which no line says how they ended, each as instance and request. */
+  /** Requests without a line about their end, each as `REQUEST at INSTANCE`. */
   readonly unended: readonly string[];
-  /** Lines that the instances concerned have dropped, as far as they say. */
+  /** Number of dropped log lines: the highest total that one of the instances in `lines` has logged. */
   readonly dropped: number;
 }
 
-/** Decisions that end an attempt: each attempt has one of them. */
-const ENDINGS: ReadonlySet<string> = new Set(['answered', 'broken-off', 'refused', 'complete']);
-const DROPPED = 'log lines dropped';
+/** Decisions that end a request at an instance; each request gets at least one of them. */
+const END_DECISIONS: ReadonlySet<string> = new Set([
+  'answered',
+  'broken-off',
+  'refused',
+  'complete',
+]);
+const DROPPED_LINES_MESSAGE = 'log lines dropped';
 
-/** Reads the story of the request whose id the caller sent from the text of logs. */
+/** Collects the lines about the request with the id that its caller sent. */
 export function readRequestLog(texts: readonly string[], id: string): RequestLog {
-  const parsed = texts.flatMap(parseLog);
-  const lines = parsed
-    .filter((line): line is LogDecision => isAbout(line, id))
+  const logLines = texts.flatMap(parseLog);
+  const lines = logLines
+    .filter((line): line is LogDecision => isDecisionOnRequest(line, id))
     .sort((a, b) => a.time - b.time);
-  const attempts = [...new Set(lines.map(getAttempt))];
-  const ended = new Set(lines.filter(({ decision }) => ENDINGS.has(decision)).map(getAttempt));
+  const attempts = [...new Set(lines.map(formatRequestKey))];
+  const ended = new Set(
+    lines.filter(({ decision }) => END_DECISIONS.has(decision)).map(formatRequestKey),
+  );
   const instances = new Set(lines.map(({ instance }) => instance));
-  const dropped = parsed
-    .filter(({ msg, instance }) => msg === DROPPED && instances.has(String(instance)))
-    .reduce((most, line) => Math.max(most, Number(line.ordinary) + Number(line.unusual)), 0);
+  const dropped = logLines
+    .filter(({ msg, instance }) => msg === DROPPED_LINES_MESSAGE && instances.has(String(instance)))
+    .reduce((max, line) => Math.max(max, Number(line.ordinary) + Number(line.unusual)), 0);
   return { lines, unended: attempts.filter((attempt) => !ended.has(attempt)), dropped };
 }
 
-/** Prints what the files tell of a request; throws if they tell nothing. */
+/** Prints what the log files contain about a request; throws if they contain nothing. */
 export function explainFromLogs(context: CliContext, id: string, files: readonly string[]): void {
-  const story = readRequestLog(files.map(readLog), id);
-  if (story.lines.length === 0) {
+  const requestLog = readRequestLog(files.map(readLog), id);
+  if (requestLog.lines.length === 0) {
     throw createCliError(ExitCode.Failed, `no line of these logs concerns ${id}`);
   }
-  printResult(context.output, context.isJson(), story, () => formatStory(story));
+  printResult(context.output, context.isJson(), requestLog, () => formatRequestLog(requestLog));
 }
 
-function formatStory({ lines, unended, dropped }: RequestLog): readonly string[] {
+function formatRequestLog({ lines, unended, dropped }: RequestLog): readonly string[] {
   const start = lines[0]?.time ?? 0;
   return [
     ...lines.map(({ time, instance, decision, request, level, msg, at, ...rest }) => {
-      const after = String(Math.round(time - start)).padStart(6);
-      return `${after} ms  ${instance}  ${decision}  ${JSON.stringify(rest)}`;
+      const elapsed = String(Math.round(time - start)).padStart(6);
+      return `${elapsed} ms  ${instance}  ${decision}  ${JSON.stringify(rest)}`;
     }),
     ...unended.map(
       (attempt) => `no line says how ${attempt} ended: the process did, or lines are missing`,
@@ -65,7 +73,7 @@
   ];
 }
 
-/** The text of a file, or of standard input for `-`. */
+/** Reads a file, or standard input for `-`. */
 export function readLog(file: string): string {
   try {
     return readFileSync(file === '-' ? 0 : file, 'utf8');
@@ -74,12 +82,12 @@
   }
 }
 
-/** The lines of a log that can be read. */
+/** Parses the lines of a log; lines that cannot be parsed are left out. */
 export function parseLog(text: string): readonly LogLine[] {
   return text.split('\n').flatMap(parseLine);
 }
 
-/** A line's JSON object, whatever a collector has put before it; none if there is none. */
+/** Parses the JSON object in a line, after any prefix of a log collector; returns no element if there is none. */
 function parseLine(text: string): readonly LogLine[] {
   const start = text.indexOf('{');
   if (start < 0) {
@@ -88,13 +96,13 @@
   try {
     return [JSON.parse(text.slice(start)) as LogLine];
   } catch {
-    // A line that was cut when its process ended; what it began to say cannot be known.
+    // The line was cut off when its process ended, and the rest cannot be recovered.
     return [];
   }
 }
 
-/** An attempt's id is the caller's, a slash and a count. */
-function isAbout({ request, time, instance, decision }: LogLine, id: string): boolean {
+/** The id in a log line is the caller's id, which may be followed by a slash and a sequence number. */
+function isDecisionOnRequest({ request, time, instance, decision }: LogLine, id: string): boolean {
   return (
     typeof request === 'string' &&
     typeof time === 'number' &&
@@ -104,6 +112,6 @@
   );
 }
 
-function getAttempt({ instance, request }: LogDecision): string {
+function formatRequestKey({ instance, request }: LogDecision): string {
   return `${request} at ${instance}`;
 }
--- a/packages/cli/src/CliMain.ts
+++ b/packages/cli/src/CliMain.ts
@@ -1,4 +1,4 @@
-/** `skylarksail`: reads the command line and runs one command. */
+/** Entry point of `skylarksail`: parses the command line and runs one command. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import type { CliTarget } from './CliClient.js';
@@ -40,7 +40,7 @@
   isTerminal: process.stderr.isTTY,
 };
 
-/** Runs the command that `argv` names; gives the exit code. */
+/** Runs the command in `argv` and returns the exit code. */
 export async function runCli(
   argv: readonly string[],
   output: CliOutput = processOutput,
--- a/packages/cli/src/CliManifest.ts
+++ b/packages/cli/src/CliManifest.ts
@@ -1,4 +1,4 @@
-/** The commands on the manifest: validate, submit, wait, show, diff and history. */
+/** The `manifest` commands: validate, submit, wait, show, diff and history. */
 import { readFileSync } from 'node:fs';
 import { randomUUID } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -16,14 +16,14 @@
 const STATUS_CONFLICT = 409;
 const STATUS_INVALID = 422;
 
-/** What every command gets. */
+/** Passed to every command: the values of the global options and the destination of the output. */
 export interface CliContext {
   readonly target: () => CliTarget;
   readonly output: CliOutput;
   readonly isJson: () => boolean;
 }
 
-/** What an instance tells of a revision's spread. */
+/** An instance's report on where a revision is in force, by failure domain. */
 export interface InForceReport {
   readonly revision: number;
   readonly accepted: boolean;
@@ -67,7 +67,7 @@
   return createCliError(ExitCode.ManifestInvalid, `manifest refused:\n${lines.join('\n')}`);
 }
 
-/** Submits a manifest; the id makes a repeated submission harmless. */
+/** Submits a manifest. A repeated submission with the same id has no effect and gets the result of the first. */
 export async function submitManifest(
   context: CliContext,
   path: string,
@@ -86,10 +86,10 @@
     throw createFaultsError((reply.body as { faults: ManifestFault[] }).faults);
   }
   if (reply.status === STATUS_CONFLICT) {
-    const { winning_revision: winner } = reply.body as { winning_revision: number };
+    const { winning_revision: winningRevision } = reply.body as { winning_revision: number };
     throw createCliError(
       ExitCode.Conflict,
-      `another submission was accepted first, as revision ${winner}; ` +
+      `another submission was accepted first, as revision ${winningRevision}; ` +
         'look at it (skylarksail manifest show), then submit again',
     );
   }
@@ -102,13 +102,13 @@
   }
 }
 
-/** Waits until a revision is in force on every instance that is known. */
+/** Polls until a revision is in force on every known instance; throws after the timeout. */
 export async function waitForRevision(
   context: CliContext,
   revision: number,
   options: { readonly timeout: number },
 ): Promise<void> {
-  const giveUpAt = performance.now() + options.timeout * 1000;
+  const deadline = performance.now() + options.timeout * 1000;
   for (;;) {
     const report = expectOk(
       await callAnyServer(context.target(), {
@@ -121,7 +121,7 @@
       printResult(context.output, context.isJson(), report, formatInForce);
       return;
     }
-    if (performance.now() > giveUpAt) {
+    if (performance.now() > deadline) {
       printResult(context.output, context.isJson(), report, formatInForce);
       throw createCliError(ExitCode.NotInForce, `revision ${revision} is not in force everywhere`);
     }
@@ -153,11 +153,11 @@
 }
 
 export async function showManifest(context: CliContext): Promise<void> {
-  const shown = expectOk(
+  const current = expectOk(
     await callAnyServer(context.target(), { method: 'GET', path: '/v1/manifest' }),
   ) as { revision: number; manifest: unknown };
-  printResult(context.output, context.isJson(), shown, () => [
-    JSON.stringify(shown.manifest, null, 2),
+  printResult(context.output, context.isJson(), current, () => [
+    JSON.stringify(current.manifest, null, 2),
   ]);
 }
 
--- a/packages/cli/src/CliOutput.ts
+++ b/packages/cli/src/CliOutput.ts
@@ -1,13 +1,13 @@
-/** What the tool prints: lines for people, or JSON for pipelines. */
+/** Output of the tool: lines for people, or JSON for pipelines. */
 
-/** Where output goes; tests pass their own. */
+/** Destination of the output; tests pass their own. */
 export interface CliOutput {
   readonly write: (text: string) => void;
   readonly writeError: (text: string) => void;
   readonly isTerminal: boolean;
 }
 
-/** Prints `value` as JSON or as the lines that `format` makes of it. */
+/** Prints `value` as JSON, or as the lines that `format` returns. */
 export function printResult<T>(
   output: CliOutput,
   isJson: boolean,
@@ -18,10 +18,10 @@
   output.write(`${text}\n`);
 }
 
-/** Columns padded to the widest cell of each. */
+/** Formats rows as lines, with each column padded to its widest cell. */
 export function formatTable(rows: readonly (readonly string[])[]): readonly string[] {
   const widths = rows.reduce<number[]>(
-    (known, row) => row.map((cell, i) => Math.max(known[i] ?? 0, cell.length)),
+    (maxWidths, row) => row.map((cell, i) => Math.max(maxWidths[i] ?? 0, cell.length)),
     [],
   );
   return rows.map((row) =>
--- a/packages/cli/src/CliStatus.ts
+++ b/packages/cli/src/CliStatus.ts
@@ -1,4 +1,4 @@
-/** The commands that look: status of the instances, and why a request was routed as it was. */
+/** The commands `status` and `explain`: the state of the instances, and their decisions on a request. */
 import { callEveryServer, expectOk } from './CliClient.js';
 import { ExitCode, createCliError } from './CliErrors.js';
 import { formatTable, printResult } from './CliOutput.js';
@@ -6,7 +6,7 @@
 
 const STATUS_OK = 200;
 
-/** What an instance says of itself; docs/API.md has the whole. */
+/** The fields of `/v1/status` that the table shows; docs/API.md describes all of them. */
 export interface StatusReport {
   readonly instance: string;
   readonly domain: string;
@@ -19,8 +19,8 @@
 }
 
 export async function showStatus(context: CliContext): Promise<void> {
-  const answers = await callEveryServer(context.target(), { method: 'GET', path: '/v1/status' });
-  const reports = answers.map(({ server, reply }) => ({
+  const replies = await callEveryServer(context.target(), { method: 'GET', path: '/v1/status' });
+  const reports = replies.map(({ server, reply }) => ({
     server,
     report: reply ? (expectOk(reply) as StatusReport) : null,
   }));
@@ -49,7 +49,7 @@
   );
 }
 
-/** One decision as it was logged. */
+/** A logged decision; the other fields are its inputs. */
 interface DecisionRecord {
   readonly at?: string;
   readonly decision: string;
@@ -58,8 +58,8 @@
 
 export async function explainRequest(context: CliContext, id: string): Promise<void> {
   const path = `/v1/explain/${encodeURIComponent(id)}`;
-  const answers = await callEveryServer(context.target(), { method: 'GET', path });
-  const found = answers.flatMap(({ server, reply }) =>
+  const replies = await callEveryServer(context.target(), { method: 'GET', path });
+  const found = replies.flatMap(({ server, reply }) =>
     reply?.status === STATUS_OK
       ? [{ server, decisions: (reply.body as { decisions: DecisionRecord[] }).decisions }]
       : [],
--- a/packages/cli/src/LedgerPlot.ts
+++ b/packages/cli/src/LedgerPlot.ts
@@ -1,16 +1,16 @@
-/** Draws how much of its callers' requests each failure domain answered on time, and when it was not whole. */
+/** Draws the share of requests that each failure domain answered on time, and the periods in which it was not whole. */
 import type { Spec } from 'vega';
 import type { LedgerSecond } from './CliLedger.js';
 
 const WIDTH = 900;
 const ROW_HEIGHT = 120;
 const ROW_GAP = 30;
-const SERVED = '#2b6cb0';
-const BROKEN = '#f6c1b5';
+const ON_TIME_COLOR = '#2b6cb0';
+const NOT_WHOLE_COLOR = '#f6c1b5';
 
-/** A picture in SVG: one row a domain, shaded where some layer was held by no engine. */
+/** Returns an SVG image with one row per domain, shaded while no engine held some of the layers (not whole). */
 export async function drawLedger(seconds: readonly LedgerSecond[]): Promise<string> {
-  // Only this command draws, and the library takes longer to load than the others take to run.
+  // Imported on demand: only this command draws, and the library takes longer to load than other commands take to run.
   const { parse, View } = await import('vega');
   return new View(parse(createSpec(seconds)), { renderer: 'none' }).toSVG();
 }
@@ -65,7 +65,7 @@
             x2: { scale: 'x', field: 'next' },
             y: { value: 0 },
             height: { value: ROW_HEIGHT },
-            fill: { value: BROKEN },
+            fill: { value: NOT_WHOLE_COLOR },
             opacity: { signal: 'datum.isWhole === false ? 1 : 0' },
           },
         },
@@ -78,7 +78,7 @@
             x: { scale: 'x', field: 'second' },
             y: { scale: 'y', field: 'onTime' },
             defined: { signal: 'datum.onTime !== null' },
-            stroke: { value: SERVED },
+            stroke: { value: ON_TIME_COLOR },
             strokeWidth: { value: 2 },
           },
         },
--- a/packages/cli/src/LedgerRequests.ts
+++ b/packages/cli/src/LedgerRequests.ts
@@ -1,4 +1,4 @@
-/** What saved logs tell of each request: when it came, how it ended, and what held it up on the way. */
+/** Reads from log lines when each request arrived, how it ended, and what delayed it or made it fail. */
 
 /** How a request ended for its caller. */
 export const LedgerEnd = {
@@ -7,44 +7,44 @@
   LatePause: 'late by a pause',
   BrokenOff: 'broken off',
   Refused: 'refused',
-  /** No line says: the process ended, or lines were dropped. */
-  Untold: 'end not told',
+  /** No line about the end: the process ended, or lines were dropped. */
+  Unknown: 'end not told',
 } as const;
 
 export type LedgerEndName = (typeof LedgerEnd)[keyof typeof LedgerEnd];
 
-/** What stood between a request and its answer; the last one seen counts. */
+/** What delayed a request or made it fail; the last cause in the log counts. */
 export const LedgerCause = {
   None: 'nothing seen on the way',
   NoChain: 'no whole chain',
-  NoRoom: 'no room at the engines',
+  NoCapacity: 'no room at the engines',
   RetryBudget: 'waited for the retry budget',
   EngineRefused: 'refused by an engine',
   EngineLost: 'engine lost or silent',
   Stopping: 'instance stopping',
   Poison: 'request that crashes engines',
   Rejected: 'not allowed (route or key)',
-  /** The next two count only where nothing else was seen. */
+  /** `CallerLeft` and `Deadline` count only if the log shows no other cause. */
   CallerLeft: 'its caller left',
   Deadline: 'its deadline passed',
 } as const;
 
 export type LedgerCauseName = (typeof LedgerCause)[keyof typeof LedgerCause];
 
-/** One request at one instance. */
+/** A request at one instance. */
 export interface LedgerRequest {
   readonly instance: string;
-  /** When it was routed, and when it ended or was last heard of, in Unix ms. */
+  /** Times of its first and last log lines, in Unix ms. */
   readonly startAt: number;
   readonly endAt: number;
   readonly end: LedgerEndName;
   readonly cause: LedgerCauseName;
 }
 
-/** A line of a log, parsed; nothing is known of its fields. */
+/** A parsed log line; its fields are not validated. */
 export type LogLine = Readonly<Record<string, unknown>>;
 
-interface OpenRequest {
+interface MutableLedgerRequest {
   readonly instance: string;
   readonly startAt: number;
   endAt: number;
@@ -52,9 +52,9 @@
   cause: LedgerCauseName;
 }
 
-/** Requests of all lines, in the order in which they came. */
+/** Returns the requests in the order of their first lines. `lines` must be sorted by time. */
 export function readLedgerRequests(lines: readonly LogLine[]): readonly LedgerRequest[] {
-  const open = new Map<string, OpenRequest>();
+  const requestsByKey = new Map<string, MutableLedgerRequest>();
   for (const line of lines) {
     const { request, instance, time, decision } = line;
     if (
@@ -64,29 +64,29 @@
       typeof decision === 'string'
     ) {
       const key = `${request} at ${instance}`;
-      const known = open.get(key) ?? {
+      const known = requestsByKey.get(key) ?? {
         instance,
         startAt: time,
         endAt: time,
-        end: LedgerEnd.Untold,
+        end: LedgerEnd.Unknown,
         cause: LedgerCause.None,
       };
-      open.set(key, known);
+      requestsByKey.set(key, known);
       known.endAt = time;
       known.cause = readCause(decision, line) ?? known.cause;
       if (known.cause === LedgerCause.None) {
-        known.cause = readPlainCause(line);
+        known.cause = readFallbackCause(line);
       }
       known.end = readEnd(decision, line) ?? known.end;
     }
   }
-  return [...open.values()];
+  return [...requestsByKey.values()];
 }
 
 function readEnd(decision: string, line: LogLine): LedgerEndName | null {
   switch (decision) {
     case 'answered':
-      return readLateness(line);
+      return readAnsweredEnd(line);
     case 'complete':
       return LedgerEnd.OnTime;
     case 'broken-off':
@@ -98,7 +98,7 @@
   }
 }
 
-function readLateness({ lateBy }: LogLine): LedgerEndName {
+function readAnsweredEnd({ lateBy }: LogLine): LedgerEndName {
   switch (lateBy) {
     case 'first':
       return LedgerEnd.LateFirst;
@@ -113,44 +113,47 @@
   const reason = String(line.reason ?? '');
   switch (decision) {
     case 'no-chain-found':
-      return reason === 'no-capacity' ? LedgerCause.NoRoom : LedgerCause.NoChain;
+      return reason === 'no-capacity' ? LedgerCause.NoCapacity : LedgerCause.NoChain;
     case 'wait':
       return LedgerCause.RetryBudget;
     case 'attempt-failed':
-      return isRefusal(reason) ? LedgerCause.EngineRefused : LedgerCause.EngineLost;
+      return isEngineRefusal(reason) ? LedgerCause.EngineRefused : LedgerCause.EngineLost;
     case 'refused':
     case 'broken-off':
-      return readOwnCause(reason, line.status);
+      return readFailureCause(reason, line.status);
     default:
       return null;
   }
 }
 
-/** A stage that says that the request has not run is alive: it is full, leaving, or holds other layers. */
-function isRefusal(reason: string): boolean {
+/**
+ * A stage that reports that the request has not run counts as a refusal, since it is alive: it is full, is draining,
+ * or holds other layers.
+ */
+function isEngineRefusal(reason: string): boolean {
   return reason.startsWith('refused') || reason.startsWith('stage not-run');
 }
 
-/** What ends a request that nothing has held up. */
-function readPlainCause({ decision, reason }: LogLine): LedgerCauseName {
-  const isOwnEnd = decision === 'refused' || decision === 'broken-off';
-  if (isOwnEnd && String(reason).startsWith('hung-up')) {
+/** Returns the cause of a failed request for which the log shows no other cause. */
+function readFallbackCause({ decision, reason }: LogLine): LedgerCauseName {
+  const hasFailed = decision === 'refused' || decision === 'broken-off';
+  if (hasFailed && String(reason).startsWith('hung-up')) {
     return LedgerCause.CallerLeft;
   }
-  return isOwnEnd && String(reason).startsWith('deadline')
+  return hasFailed && String(reason).startsWith('deadline')
     ? LedgerCause.Deadline
     : LedgerCause.None;
 }
 
-const REJECTED: readonly unknown[] = [400, 401, 404];
+const REJECTED_STATUSES: readonly unknown[] = [400, 401, 404];
 
-/** What our own answer says beyond the lines before it. */
-function readOwnCause(reason: string, status: unknown): LedgerCauseName | null {
+/** Returns the cause that the router's own refusal or abort names; null keeps the cause from earlier lines. */
+function readFailureCause(reason: string, status: unknown): LedgerCauseName | null {
   if (reason.startsWith('draining')) {
     return LedgerCause.Stopping;
   }
   if (reason.startsWith('poison')) {
     return LedgerCause.Poison;
   }
-  return REJECTED.includes(status) ? LedgerCause.Rejected : null;
+  return REJECTED_STATUSES.includes(status) ? LedgerCause.Rejected : null;
 }
--- a/packages/cli/src/__tests__/unit/CliMain.test.ts
+++ b/packages/cli/src/__tests__/unit/CliMain.test.ts
@@ -15,12 +15,12 @@
 describe('CliMain', () => {
   let server: Server;
   let url: string;
-  let folder: string;
+  let directory: string;
   let replies: Record<string, Reply>;
   let received: { readonly path: string; readonly body: string }[];
 
   before(async () => {
-    folder = mkdtempSync(join(tmpdir(), 'skylarksail-cli-'));
+    directory = mkdtempSync(join(tmpdir(), 'skylarksail-cli-'));
     server = createServer((req, res) => {
       let body = '';
       req.on('data', (chunk: Buffer) => {
@@ -40,7 +40,7 @@
   after(() => {
     server.close();
     server.closeAllConnections();
-    rmSync(folder, { recursive: true });
+    rmSync(directory, { recursive: true });
   });
   beforeEach(() => {
     replies = {};
@@ -63,32 +63,31 @@
   }
 
   function writeManifest(manifest: unknown): string {
-    const path = join(folder, 'manifest.json');
+    const path = join(directory, 'manifest.json');
     writeFileSync(path, JSON.stringify(manifest));
     return path;
   }
 
-  it('validates without calling any instance, with every fault and its path', async () => {
-    const good = await run(
+  it('validates without calling any instance, and reports every fault with its path', async () => {
+    const valid = await run(
       'manifest',
       'validate',
       writeManifest({ schema: 1, domains: [{ id: 'a' }] }),
     );
-    expect(good.code).to.equal(0);
-    const bad = await run(
+    expect(valid.code).to.equal(0);
+    const invalid = await run(
       'manifest',
       'validate',
       writeManifest({ schema: 1, domains: [{ id: 'a' }, { id: 'a' }], teams: [{ id: 'T' }] }),
     );
-    expect(bad.code).to.equal(3);
-    expect(bad.err).to.contain('teams[0].id').and.to.contain('teams[0].keyHashes');
+    expect(invalid.code).to.equal(3);
+    expect(invalid.err).to.contain('teams[0].id').and.to.contain('teams[0].keyHashes');
     expect(received).to.deep.equal([]);
   });
 
-  // Symptom: a pipeline takes a lost race for its own success, or repeats a change with a new id.
-  // Sequence: two pipelines submit; the other one wins.
-  // Cause: one exit code for all failures, or an id that changes between tries.
-  it('sends the submission id it was given and tells a lost race by its exit code', async () => {
+  // Two pipelines submit at the same time, and the other one wins. If a conflict has no exit code of its own, or the
+  // id changes between retries, the pipeline takes the conflict for its own success or submits the change twice.
+  it('sends the given submission id, and exits with the code for a conflict', async () => {
     const path = writeManifest({ schema: 1, domains: [{ id: 'a' }] });
     replies['/v1/manifest'] = { status: 409, body: { winning_revision: 7 } };
     const lost = await run('manifest', 'submit', path, '--id', 'build-1', '--expect', '6');
@@ -100,7 +99,7 @@
     });
   });
 
-  it('names the instances that have not confirmed when a wait ends without them', async () => {
+  it('names the instances that have not confirmed when a wait times out', async () => {
     replies['/v1/manifest/in-force'] = {
       status: 200,
       body: {
@@ -110,12 +109,12 @@
         domains: [{ domain: 'a', confirmed: 1, total: 2, missing: ['entry-2'] }],
       },
     };
-    const waited = await run('manifest', 'wait', '3', '--timeout', '0.01');
-    expect(waited.code).to.equal(5);
-    expect(waited.out).to.contain('not confirmed: entry-2');
+    const timedOut = await run('manifest', 'wait', '3', '--timeout', '0.01');
+    expect(timedOut.code).to.equal(5);
+    expect(timedOut.out).to.contain('not confirmed: entry-2');
   });
 
-  it('prints JSON for pipelines, and tells wrong usage from unreachable instances', async () => {
+  it('prints JSON, and has separate exit codes for wrong usage and unreachable instances', async () => {
     replies['/v1/status'] = {
       status: 200,
       body: {
@@ -132,11 +131,11 @@
     const status = await run('--json', 'status');
     expect(JSON.parse(status.out)[0].report.instance).to.equal('entry-1');
     expect((await run('nonsense')).code).to.equal(2);
-    const nowhere = await run('--server', 'http://127.0.0.1:1', 'status');
-    expect(nowhere.code).to.equal(6);
+    const unreachable = await run('--server', 'http://127.0.0.1:1', 'status');
+    expect(unreachable.code).to.equal(6);
   });
 
-  it('prints a completion script that knows the commands', async () => {
+  it('prints a completion script with the subcommands', async () => {
     const { out } = await run('completion');
     expect(out).to.contain('"manifest") words="validate submit wait show diff history"');
   });
--- a/packages/manifest/src/FakeFleet.ts
+++ b/packages/manifest/src/FakeFleet.ts
@@ -1,6 +1,7 @@
 /**
- * Many instances of the manifest's spread in one process over virtual time, for tests and benches: the
- * real machine and runner, a fake platform, and a network of delays, losses and cuts between them.
+ * Runs the manifest distribution of many instances in one process over virtual time, for tests and
+ * benchmarks: the real state machine and runner with a fake platform and a simulated network that
+ * delays and drops messages and can be partitioned.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
@@ -19,12 +20,13 @@
   readonly random: Random;
   readonly platform: FakeStore;
   readonly members: readonly SpreadMember[];
-  /** One way between instances of one domain, and of two. */
+  /** One-way network delay between instances of the same domain. */
   readonly nearDelay?: Millis;
+  /** One-way network delay between instances of different domains. */
   readonly farDelay?: Millis;
-  /** Until the rest of the fleet knows of an instance that died or started. */
+  /** Delay until the fleet's member lists reflect an instance that was killed or started. */
   readonly memberLag?: Millis;
-  /** Wraps the platform's port of an instance, as a budgeted client does. */
+  /** Wraps an instance's connection to the platform, as a client with a call budget does. */
   readonly wrapPlatform?: (id: InstanceId, port: StorePort) => StorePort;
   readonly onInForce?: (id: InstanceId, revision: number) => void;
   readonly onMessage?: (from: InstanceId, to: InstanceId, message: SpreadMessage) => void;
@@ -33,16 +35,16 @@
 export interface FakeFleet {
   start(id: InstanceId): void;
   startAll(): void;
-  /** Ends an instance at once; it keeps nothing. */
+  /** Stops an instance at once; its state is lost. */
   kill(id: InstanceId): void;
   getRunner(id: InstanceId): ManifestRunner | undefined;
   listRunning(): readonly InstanceId[];
-  /** Revision in force at an instance, 0 for none; null if it does not run. */
+  /** Revision in force at an instance, 0 for none; null if the instance is not running. */
   getRevision(id: InstanceId): number | null;
   getView(id: InstanceId): ManifestView | null;
-  /** Cuts a domain off from the other domains and the platform, or joins it again. */
+  /** Partitions a domain from the other domains and the platform, or reconnects it. */
   setPartitioned(domain: DomainId, isCut: boolean): void;
-  /** Share of messages between instances that get lost. */
+  /** Sets the fraction of messages between instances that are lost. */
   setLoss(share: number): void;
 }
 
@@ -51,7 +53,7 @@
 const DEFAULT_MEMBER_LAG: Millis = 2000;
 const DELAY_JITTER = 0.5;
 
-/** Creates a fleet of which nothing runs yet. */
+/** Creates a fleet with no instance running. */
 export function createFakeFleet(options: FakeFleetOptions): FakeFleet {
   const { timers, random, platform, members } = options;
   const nearDelay = options.nearDelay ?? DEFAULT_NEAR_DELAY;
@@ -59,9 +61,9 @@
   const memberLag = options.memberLag ?? DEFAULT_MEMBER_LAG;
   const membersById = new Map(members.map((member) => [member.id, member]));
   const runners = new Map<InstanceId, ManifestRunner>();
-  const cutDomains = new Set<DomainId>();
-  let listed: readonly SpreadMember[] = [];
-  let loss = 0;
+  const partitionedDomains = new Set<DomainId>();
+  let knownMembers: readonly SpreadMember[] = [];
+  let lossRate = 0;
 
   function getDomain(id: InstanceId): DomainId {
     return membersById.get(id)?.domain ?? '';
@@ -70,12 +72,12 @@
   function isReachable(from: InstanceId, to: InstanceId): boolean {
     const a = getDomain(from);
     const b = getDomain(to);
-    return a === b || !(cutDomains.has(a) || cutDomains.has(b));
+    return a === b || !(partitionedDomains.has(a) || partitionedDomains.has(b));
   }
 
   function send(from: InstanceId, to: InstanceId, message: SpreadMessage): void {
     options.onMessage?.(from, to, message);
-    if (random.nextFloat() < loss) {
+    if (random.nextFloat() < lossRate) {
       return;
     }
     const delay = getDomain(from) === getDomain(to) ? nearDelay : farDelay;
@@ -86,12 +88,15 @@
     });
   }
 
-  function relistLater(): void {
+  function scheduleMembershipUpdate(): void {
     timers.registerTimeout(memberLag, () => {
       const next = members.filter(({ id }) => runners.has(id));
-      if (next.length !== listed.length || next.some((member, i) => member !== listed[i])) {
-        listed = next;
-        runners.forEach((runner) => runner.changeMembers(listed));
+      if (
+        next.length !== knownMembers.length ||
+        next.some((member, i) => member !== knownMembers[i])
+      ) {
+        knownMembers = next;
+        runners.forEach((runner) => runner.changeMembers(knownMembers));
       }
     });
   }
@@ -106,7 +111,7 @@
       id,
       startManifestRunner({
         self,
-        members: listed,
+        members: knownMembers,
         platform: options.wrapPlatform?.(id, port) ?? port,
         timers,
         random,
@@ -114,19 +119,19 @@
         onInForce: (view) => options.onInForce?.(id, view.revision),
       }),
     );
-    relistLater();
+    scheduleMembershipUpdate();
   }
 
   return {
     start,
     startAll() {
-      listed = members;
+      knownMembers = members;
       members.forEach(({ id }) => start(id));
     },
     kill(id) {
       runners.get(id)?.stop();
       runners.delete(id);
-      relistLater();
+      scheduleMembershipUpdate();
     },
     getRunner: (id) => runners.get(id),
     listRunning: () => [...runners.keys()],
@@ -137,21 +142,21 @@
     getView: (id) => runners.get(id)?.getView() ?? null,
     setPartitioned(domain, isCut) {
       if (isCut) {
-        cutDomains.add(domain);
+        partitionedDomains.add(domain);
       } else {
-        cutDomains.delete(domain);
+        partitionedDomains.delete(domain);
       }
       members
         .filter((member) => member.domain === domain)
         .forEach(({ id }) => platform.setFaults({ outage: isCut }, id));
     },
     setLoss(share) {
-      loss = share;
+      lossRate = share;
     },
   };
 }
 
-/** Members of `domains` domains with `perDomain` instances each: `d0-0`, `d0-1`… */
+/** Creates the members of `domains` domains with `perDomain` instances each: `d0-0`, `d0-1`… */
 export function createFleetMembers(domains: number, perDomain: number): readonly SpreadMember[] {
   return Array.from({ length: domains }, (_d, d) =>
     Array.from({ length: perDomain }, (_i, i) => ({ id: `d${d}-${i}`, domain: `d${d}` })),
--- a/packages/manifest/src/ManifestCalls.ts
+++ b/packages/manifest/src/ManifestCalls.ts
@@ -1,4 +1,4 @@
-/** Repeats calls to the platform that may safely be made again, until a deadline. */
+/** Retries idempotent calls to the platform until a deadline. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -6,18 +6,21 @@
 import type { CallOptions, StoreOutcome, StorePort } from '@skylarksail/store/StorePort';
 import type { Pause } from './ManifestSlices.js';
 
-/** What the manifest's store needs from outside. */
+/** Dependencies of the manifest store. */
 export interface StoreContext {
   readonly platform: StorePort;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Limit of a single call. */
+  /** Timeout of a single call. */
   readonly callTimeout: Millis;
-  /** Lets other work of the loop run while a large manifest is checked and cut; none does it at once. */
+  /**
+   * Yields to the event loop while a large manifest is checked and split into chunks; if absent, this
+   * runs without a break.
+   */
   readonly pause?: Pause;
 }
 
-/** Calls made at the same time, so that one submission does not take the platform's whole rate. */
+/** Limit on concurrent calls, so that one submission does not use up the platform's whole rate limit. */
 const MAX_PARALLEL_CALLS = 16;
 const FIRST_BACKOFF: Millis = 20;
 const MAX_BACKOFF: Millis = 1000;
@@ -28,16 +31,17 @@
   reason: { kind: 'over-budget', retryAfter: 0 },
 } as const;
 
-/** The last outcome of a repeated call. */
+/** The last outcome of a call that may have been retried. */
 export interface RepeatedOutcome<T> {
   readonly outcome: StoreOutcome<T>;
-  /** True if the outcome of any of the calls was unknown, so that one may have taken effect. */
+  /** Whether the outcome of any attempt was unknown, so that it may have taken effect. */
   readonly mayHaveApplied: boolean;
 }
 
 /**
- * Makes a call again while its outcome is unknown or it is told to wait. Only for calls whose second
- * effect equals the first. Gives the last outcome there was by the deadline (a time of `timers`).
+ * Retries a call with exponential backoff while its outcome is unknown or it is refused with a
+ * `retryAfter`. Only for idempotent calls. Returns the last outcome by the deadline, which is a time of
+ * `timers`; the outcome at the deadline is `unknown` if that of any attempt was.
  */
 export async function callWithRetry<T>(
   ctx: StoreContext,
@@ -45,25 +49,25 @@
   call: (options: CallOptions) => Promise<StoreOutcome<T>>,
 ): Promise<RepeatedOutcome<T>> {
   let backoff = FIRST_BACKOFF;
-  let isUnsure = false;
+  let mayHaveApplied = false;
   let outcome: StoreOutcome<T> = NOT_CALLED;
   for (;;) {
     const timeLeft = deadline - ctx.timers.now();
     if (timeLeft <= 0) {
-      return { outcome: isUnsure ? { kind: 'unknown' } : outcome, mayHaveApplied: isUnsure };
+      return { outcome: mayHaveApplied ? { kind: 'unknown' } : outcome, mayHaveApplied };
     }
     outcome = await call({ timeout: Math.min(ctx.callTimeout, timeLeft) });
-    const wait = getWait(outcome);
-    if (wait === null) {
-      return { outcome, mayHaveApplied: isUnsure };
+    const retryDelay = getRetryDelay(outcome);
+    if (retryDelay === null) {
+      return { outcome, mayHaveApplied };
     }
-    isUnsure ||= outcome.kind === 'unknown';
-    await sleep(ctx, Math.max(wait, jitter(ctx.random, backoff, BACKOFF_JITTER)));
+    mayHaveApplied ||= outcome.kind === 'unknown';
+    await sleep(ctx, Math.max(retryDelay, jitter(ctx.random, backoff, BACKOFF_JITTER)));
     backoff = Math.min(backoff * 2, MAX_BACKOFF);
   }
 }
 
-function getWait<T>(outcome: StoreOutcome<T>): Millis | null {
+function getRetryDelay<T>(outcome: StoreOutcome<T>): Millis | null {
   if (outcome.kind === 'unknown') {
     return 0;
   }
@@ -74,28 +78,28 @@
   return 'retryAfter' in reason ? reason.retryAfter : null;
 }
 
-/** Lets `delay` milliseconds pass. */
+/** Resolves after `delay` milliseconds. */
 export function sleep(ctx: StoreContext, delay: Millis): Promise<void> {
   return new Promise((resolve) => {
     ctx.timers.registerTimeout(delay, resolve);
   });
 }
 
-/** Runs `work` for each element, a bounded number at a time; results in the order of the elements. */
+/** Runs `work` for each element with bounded concurrency; returns results in the order of the elements. */
 export async function mapBounded<T, R>(
   elements: readonly T[],
   work: (element: T) => Promise<R>,
 ): Promise<R[]> {
   const results: R[] = new Array<R>(elements.length);
   let next = 0;
-  async function runLane(): Promise<void> {
+  async function runWorker(): Promise<void> {
     while (next < elements.length) {
       const i = next;
       next += 1;
       results[i] = await work(elements[i] as T);
     }
   }
-  const lanes = Math.min(MAX_PARALLEL_CALLS, elements.length);
-  await Promise.all(Array.from({ length: lanes }, runLane));
+  const workerCount = Math.min(MAX_PARALLEL_CALLS, elements.length);
+  await Promise.all(Array.from({ length: workerCount }, runWorker));
   return results;
 }
--- a/packages/manifest/src/ManifestCheck.ts
+++ b/packages/manifest/src/ManifestCheck.ts
@@ -1,4 +1,4 @@
-/** Checks a manifest as a whole: its shape, and that every name it uses is one that it defines. */
+/** Validates a manifest: its shape, the uniqueness of ids and keys, and that each reference resolves. */
 import { z } from 'zod';
 import type { Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
@@ -7,48 +7,48 @@
 import type { SlicedWork } from './ManifestSlices.js';
 import { mapInSlices, runSynchronously } from './ManifestSlices.js';
 
-/** One thing that is wrong, with where it stands: `teams[3].models[0]`. */
+/** A validation error with the path of the offending value, such as `teams[3].models[0]`. */
 export interface ManifestFault {
   readonly path: string;
   readonly message: string;
 }
 
-/** The whole but for its teams, which are checked one by one. */
-const outlineSchema = manifestSchema.extend({ teams: z.array(z.unknown()).default([]) });
+/** The manifest schema without the teams, which are validated one by one. */
+const uncheckedTeamsSchema = manifestSchema.extend({ teams: z.array(z.unknown()).default([]) });
 
-/** Gives the manifest with its defaults filled in, or everything that is wrong with it. */
+/** Returns the manifest with its defaults filled in, or the faults that were found. */
 export function checkManifest(input: unknown): Result<Manifest, readonly ManifestFault[]> {
   return runSynchronously(checkInSlices(input));
 }
 
-/** The same as work in slices. */
+/** Interruptible variant of {@link checkManifest}. */
 export function* checkInSlices(
   input: unknown,
 ): SlicedWork<Result<Manifest, readonly ManifestFault[]>> {
-  const outline = outlineSchema.safeParse(input);
-  if (!outline.success) {
-    return createFailed(listFaults(outline.error, []));
+  const parsedInput = uncheckedTeamsSchema.safeParse(input);
+  if (!parsedInput.success) {
+    return createFailed(convertZodError(parsedInput.error, []));
   }
-  const checked = yield* mapInSlices(outline.data.teams, (team, i) => {
+  const checked = yield* mapInSlices(parsedInput.data.teams, (team, i) => {
     const parsed = teamSchema.safeParse(team);
-    return parsed.success ? parsed.data : listFaults(parsed.error, ['teams', i]);
+    return parsed.success ? parsed.data : convertZodError(parsed.error, ['teams', i]);
   });
   const faults = checked.filter((team) => Array.isArray(team)).flat();
   if (faults.length > 0) {
     return createFailed(faults);
   }
-  const manifest: Manifest = { ...outline.data, teams: checked as ManifestTeam[] };
+  const manifest: Manifest = { ...parsedInput.data, teams: checked as ManifestTeam[] };
   const wrong: ManifestFault[] = [];
-  for (const find of [findRepeatedIds, findUnknownNames, findRepeatedKeys]) {
-    wrong.push(...find(manifest));
+  for (const findFaults of [findDuplicateIds, findUndefinedReferences, findDuplicateKeys]) {
+    wrong.push(...findFaults(manifest));
     yield;
   }
   return wrong.length === 0 ? createOk(manifest) : createFailed(wrong);
 }
 
-function listFaults(error: z.ZodError, above: readonly PropertyKey[]): ManifestFault[] {
+function convertZodError(error: z.ZodError, parentPath: readonly PropertyKey[]): ManifestFault[] {
   return error.issues.map(({ path, message }) => ({
-    path: formatPath([...above, ...path]),
+    path: formatPath([...parentPath, ...path]),
     message,
   }));
 }
@@ -61,7 +61,7 @@
   );
 }
 
-function findRepeatedIds(manifest: Manifest): ManifestFault[] {
+function findDuplicateIds(manifest: Manifest): ManifestFault[] {
   const lists = {
     models: manifest.models,
     teams: manifest.teams,
@@ -79,36 +79,36 @@
   });
 }
 
-function findUnknownNames(manifest: Manifest): ManifestFault[] {
+function findUndefinedReferences(manifest: Manifest): ManifestFault[] {
   const models = new Set(manifest.models.map(({ id }) => id));
   const services = new Set(manifest.services.map(({ id }) => id));
   const faults: ManifestFault[] = [];
-  const expectKnown = (known: ReadonlySet<string>, id: string, path: string): void => {
+  const checkReference = (known: ReadonlySet<string>, id: string, path: string): void => {
     if (!known.has(id)) {
       faults.push({ path, message: `"${id}" is not defined` });
     }
   };
   manifest.models.forEach((model, i) => {
     const versions = new Set(model.versions.map(({ id }) => id));
-    expectKnown(versions, model.serve, `models[${i}].serve`);
+    checkReference(versions, model.serve, `models[${i}].serve`);
   });
   manifest.teams.forEach((team, i) => {
-    team.models.forEach((id, j) => expectKnown(models, id, `teams[${i}].models[${j}]`));
-    team.services.forEach((id, j) => expectKnown(services, id, `teams[${i}].services[${j}]`));
+    team.models.forEach((id, j) => checkReference(models, id, `teams[${i}].models[${j}]`));
+    team.services.forEach((id, j) => checkReference(services, id, `teams[${i}].services[${j}]`));
   });
   manifest.domains.forEach((domain, i) => {
     domain.serves.forEach(({ model }, j) =>
-      expectKnown(models, model, `domains[${i}].serves[${j}].model`),
+      checkReference(models, model, `domains[${i}].serves[${j}].model`),
     );
   });
   return faults;
 }
 
 /**
- * Two teams with one key would see each other's answers, and which team a caller is would depend on
- * the order of the list; the manifest is refused instead.
+ * Finds bearer keys that two teams share. Such teams would see each other's answers, and the team of a
+ * caller would depend on the order of the list, so the manifest is rejected.
  */
-function findRepeatedKeys(manifest: Manifest): ManifestFault[] {
+function findDuplicateKeys(manifest: Manifest): ManifestFault[] {
   const owners = new Map<string, string>();
   return manifest.teams.flatMap((team, i) =>
     team.keyHashes.flatMap((hash, j) => {
--- a/packages/manifest/src/ManifestConfirm.ts
+++ b/packages/manifest/src/ManifestConfirm.ts
@@ -1,6 +1,7 @@
 /**
- * Confirmations that a revision is in force. Each instance tells the collectors of its own domain, once
- * a revision; digests leave a domain only when an operator asks, so that the cost is bounded.
+ * Confirmations that a revision is in force. Each instance sends one per revision to the collectors of
+ * its own domain, and repeats it periodically; digests are sent to other domains only when an operator
+ * queries them, so that the cost is bounded.
  */
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { ConfirmDigest } from './ManifestMessages.js';
@@ -8,18 +9,18 @@
 import type { SpreadEffect, SpreadState, SpreadStep } from './ManifestSpreadTypes.js';
 import { createStep, getRevisionOf } from './ManifestSpreadTypes.js';
 
-/** How far one domain is, as `manifest wait` shows it. */
+/** How many instances of a domain have a revision in force, as `manifest wait` shows it. */
 export interface DomainInForce {
   readonly domain: DomainId;
   readonly total: number;
   readonly inForce: number;
-  /** Some of those that have not confirmed, with the last revision that they did. */
+  /** Some instances that have not confirmed the revision, with the last one that they confirmed. */
   readonly behind: readonly { readonly instance: InstanceId; readonly revision: number }[];
-  /** Age of what is said, in milliseconds; null if no collector of the domain has answered. */
+  /** Age of the digest in milliseconds; null if no collector of the domain has answered. */
   readonly age: Millis | null;
 }
 
-/** Tells the own domain's collectors what is in force here. */
+/** Confirms the revision in force to the collectors of the own domain. */
 export function sendConfirmation(state: SpreadState): SpreadStep {
   const revision = getRevisionOf(state.inForce);
   const { self, collectors } = state.plan;
@@ -32,7 +33,7 @@
     : createStep(state, effects);
 }
 
-/** As a collector, notes what an instance has in force. An instance that restarted may say less. */
+/** Records an instance's confirmation at a collector. After a restart it may be a lower revision. */
 export function recordConfirmation(
   state: SpreadState,
   instance: InstanceId,
@@ -41,19 +42,19 @@
   return { ...state, confirmed: new Map(state.confirmed).set(instance, revision) };
 }
 
-/** Forgets instances that are no longer members. */
+/** Removes the confirmations of instances that are no longer members. */
 export function pruneConfirmations(state: SpreadState): SpreadState {
   const members = new Set(state.plan.ownDomain);
   const confirmed = new Map([...state.confirmed].filter(([id]) => members.has(id)));
   return { ...state, confirmed };
 }
 
-/** As a collector, sums up the own domain. */
+/** Summarizes the confirmations of the own domain at a collector. */
 export function createDigest(state: SpreadState, revision: number): ConfirmDigest {
   const { ownDomain, self } = state.plan;
   const behind = ownDomain
     .map((instance) => ({ instance, revision: state.confirmed.get(instance) ?? 0 }))
-    .filter((line) => line.revision < revision);
+    .filter((entry) => entry.revision < revision);
   return {
     domain: self.domain,
     revision,
@@ -63,7 +64,7 @@
   };
 }
 
-/** Asks the collectors of every domain; the answers show in `listInForce` as they come. */
+/** Queries the collectors of every domain; `listInForce` includes the answers as they arrive. */
 export function requestDigests(state: SpreadState, revision: number, at: Millis): SpreadStep {
   const { self, collectors } = state.plan;
   const effects = [...collectors].flatMap(([, ids]) =>
@@ -80,17 +81,20 @@
   return createStep(next, effects);
 }
 
-/** Keeps a digest; of two for one revision the one that knows of more is kept. */
+/**
+ * Stores a digest. Of two digests for the same revision, the one that counts more instances is kept, as
+ * collectors of a domain may have received different confirmations.
+ */
 export function receiveDigest(state: SpreadState, digest: ConfirmDigest, at: Millis): SpreadState {
   const known = state.digests.get(digest.domain);
-  const knowsMore =
+  const isKnownFurther =
     known?.digest.revision === digest.revision && known.digest.inForce > digest.inForce;
-  return knowsMore
+  return isKnownFurther
     ? state
     : { ...state, digests: new Map(state.digests).set(digest.domain, { digest, at }) };
 }
 
-/** What is known of `revision` in each domain, a domain without word included. */
+/** Lists for each domain how many instances have `revision` in force, also without a digest from it. */
 export function listInForce(
   state: SpreadState,
   revision: number,
--- a/packages/manifest/src/ManifestDiff.ts
+++ b/packages/manifest/src/ManifestDiff.ts
@@ -1,4 +1,4 @@
-/** What differs between two manifests, path by path; elements of lists are named by their ids. */
+/** Computes the differences between two manifests by path; list elements are matched by id. */
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import type { StoreContext } from './ManifestCalls.js';
@@ -9,16 +9,16 @@
 import { readChunk, readTreeIndex } from './ManifestReader.js';
 import type { Manifest } from './ManifestSchema.js';
 
-/** One difference. `before` is undefined where something was added, `after` where it was removed. */
+/** One difference. `before` is undefined for an added value, `after` for a removed one. */
 export interface ManifestChange {
   readonly path: string;
   readonly before: unknown;
   readonly after: unknown;
 }
 
-const MAX_SHOWN_LENGTH = 60;
+const MAX_VALUE_LENGTH = 60;
 
-/** Lists every difference, in order of the paths. */
+/** Lists all differences, sorted by path. */
 export function diffManifests(before: Manifest, after: Manifest): readonly ManifestChange[] {
   return diffValues('', before, after);
 }
@@ -27,7 +27,7 @@
   if (isRecord(before) && isRecord(after)) {
     return diffRecords(before, after, (key) => (path ? `${path}.${key}` : key));
   }
-  if (isNamedList(before) && isNamedList(after)) {
+  if (isListWithIds(before) && isListWithIds(after)) {
     return diffRecords(indexById(before), indexById(after), (key) => `${path}[${key}]`);
   }
   return JSON.stringify(before) === JSON.stringify(after) ? [] : [{ path, before, after }];
@@ -36,17 +36,17 @@
 function diffRecords(
   before: Readonly<Record<string, unknown>>,
   after: Readonly<Record<string, unknown>>,
-  join: (key: string) => string,
+  joinPath: (key: string) => string,
 ): readonly ManifestChange[] {
   const keys = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
-  return keys.flatMap((key) => diffValues(join(key), before[key], after[key]));
+  return keys.flatMap((key) => diffValues(joinPath(key), before[key], after[key]));
 }
 
 function isRecord(value: unknown): value is Readonly<Record<string, unknown>> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function isNamedList(value: unknown): value is readonly { readonly id: string }[] {
+function isListWithIds(value: unknown): value is readonly { readonly id: string }[] {
   return (
     Array.isArray(value) && value.every((line) => isRecord(line) && typeof line.id === 'string')
   );
@@ -56,24 +56,24 @@
   return Object.fromEntries(elements.map((element) => [element.id, element]));
 }
 
-/** The differences as lines for a person to read: `+` added, `-` removed, `~` changed. */
+/** Formats differences as human-readable lines: `+` added, `-` removed, `~` changed. */
 export function formatDiff(changes: readonly ManifestChange[]): readonly string[] {
   return changes.map(({ path, before, after }) => {
     if (before === undefined) {
-      return `+ ${path}: ${shorten(after)}`;
+      return `+ ${path}: ${formatTruncated(after)}`;
     }
     return after === undefined
-      ? `- ${path}: ${shorten(before)}`
-      : `~ ${path}: ${shorten(before)} -> ${shorten(after)}`;
+      ? `- ${path}: ${formatTruncated(before)}`
+      : `~ ${path}: ${formatTruncated(before)} -> ${formatTruncated(after)}`;
   });
 }
 
-function shorten(value: unknown): string {
+function formatTruncated(value: unknown): string {
   const text = JSON.stringify(value);
-  return text.length > MAX_SHOWN_LENGTH ? `${text.slice(0, MAX_SHOWN_LENGTH)}...` : text;
+  return text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}...` : text;
 }
 
-/** Compares two accepted bodies; only chunks that one of them alone names are read. */
+/** Compares two accepted bodies and reads only the models and leaves that they do not share. */
 export async function diffBodies(
   ctx: StoreContext,
   deadline: Millis,
@@ -88,25 +88,27 @@
   if (!treeAfter.ok) {
     return treeAfter;
   }
-  const old = await readDifferent(ctx, deadline, treeBefore.value, treeAfter.value);
-  const fresh = await readDifferent(ctx, deadline, treeAfter.value, treeBefore.value);
-  if (!old.ok) {
-    return old;
+  const oldManifest = await readUnsharedParts(ctx, deadline, treeBefore.value, treeAfter.value);
+  const newManifest = await readUnsharedParts(ctx, deadline, treeAfter.value, treeBefore.value);
+  if (!oldManifest.ok) {
+    return oldManifest;
   }
-  return fresh.ok ? createOk(diffManifests(old.value, fresh.value)) : fresh;
+  return newManifest.ok
+    ? createOk(diffManifests(oldManifest.value, newManifest.value))
+    : newManifest;
 }
 
-/** The manifest of `tree` without the models and leaves that `other` has too. */
-async function readDifferent(
+/** Reads the manifest of `tree` without the models and leaves that `other` also contains. */
+async function readUnsharedParts(
   ctx: StoreContext,
   deadline: Millis,
   tree: ManifestTree,
   other: ManifestTree,
 ): Promise<Result<Manifest, ReadFault>> {
   const shared = listTreeChunks(other);
-  const isOwn = (ref: ChunkRef): boolean => !shared.has(ref);
-  const parts = tree.body.parts.filter(({ name, ref }) => name === 'base' || isOwn(ref));
-  const leaves = tree.leaves.filter(isOwn);
+  const isUnshared = (ref: ChunkRef): boolean => !shared.has(ref);
+  const parts = tree.body.parts.filter(({ name, ref }) => name === 'base' || isUnshared(ref));
+  const leaves = tree.leaves.filter(isUnshared);
   const refs = [...parts.map(({ ref }) => ref), ...leaves];
   const texts = await mapBounded(refs, (ref) => readChunk(ctx, deadline, ref));
   const chunks = new Map<ChunkRef, string>();
@@ -116,6 +118,6 @@
     }
     chunks.set(refs[i] as ChunkRef, text.value);
   }
-  const part: ManifestTree = { ...tree, body: { ...tree.body, parts }, leaves };
-  return createOk(joinManifest(part, (ref) => chunks.get(ref)));
+  const partialTree: ManifestTree = { ...tree, body: { ...tree.body, parts }, leaves };
+  return createOk(joinManifest(partialTree, (ref) => chunks.get(ref)));
 }
--- a/packages/manifest/src/ManifestErrors.ts
+++ b/packages/manifest/src/ManifestErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the manifest package; errors from below are turned into these. */
+/** Errors of the manifest package; errors of lower layers are converted to them. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Base class of all errors that this package throws. */
 export const ManifestError = SkylarkError.subclass('ManifestError');
--- a/packages/manifest/src/ManifestFetch.ts
+++ b/packages/manifest/src/ManifestFetch.ts
@@ -1,4 +1,4 @@
-/** Fetching of a higher revision: from the peer that told of it, then others, then the platform. */
+/** Fetches a higher revision: from the peer that announced it, then other peers, then the platform. */
 import { jitter, sampleElements } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { ChunkRef, GetChunk } from './ManifestChunks.js';
@@ -24,21 +24,21 @@
 } from './ManifestSpreadTypes.js';
 import type { HeldManifest } from './ManifestView.js';
 
-/** Revisions whose deltas are kept; a peer further behind asks for chunks by name. */
+/** Number of revisions whose deltas are kept; a peer further behind requests chunks by ref. */
 const MAX_DELTAS = 16;
-const MAX_TELLERS = 4;
-/** Peers told of a new revision besides those below in the tree. */
-const RANDOM_LISTENERS = 2;
-/** Chunks asked for in one message; the answer is bounded by its bytes anyway. */
-const MAX_REFS_ASKED = 256;
+const MAX_ANNOUNCERS = 4;
+/** Random peers that a new revision is announced to besides the children in the fan-out tree. */
+const RANDOM_RECIPIENTS = 2;
+/** Limit on the chunks requested in one message; the answer has its own limit in bytes. */
+const MAX_REQUESTED_REFS = 256;
 const BACKOFF_JITTER = 0.5;
 
-/** Highest revision known of, held or not. */
+/** The higher of the held revision and the one being fetched. */
 export function getKnownRevision(state: SpreadState): number {
   return Math.max(getRevisionOf(state.held), state.target?.root.revision ?? 0);
 }
 
-/** Takes note of a root; starts to fetch it if it is higher than all known ones, and else drops it. */
+/** Starts to fetch a root if it is higher than any known revision; ignores it otherwise. */
 export function learnRoot(
   ctx: SpreadContext,
   state: SpreadState,
@@ -61,9 +61,9 @@
 }
 
 /**
- * A peer holds the target's revision or a higher one: ask it, unless another peer is being asked. A read
- * from the platform goes on beside it; were it waited for, one lost call would hold up an instance that
- * all its peers could help.
+ * Fetches the target from a peer that holds its revision or a higher one, unless another peer is already
+ * the source. A read from the platform in progress continues in parallel: waiting for it would let a
+ * single lost call delay an instance although its peers hold the revision.
  */
 export function adoptPeerSource(
   ctx: SpreadContext,
@@ -80,31 +80,34 @@
   return advanceTarget(ctx, { ...state, target: next }, at);
 }
 
-/** A peer told of a higher revision: ask it, or remember it while another is being asked. */
+/** Requests the root of a higher revision from its announcer; queues the peer if a request is pending. */
 export function requestRoot(
   ctx: SpreadContext,
   state: SpreadState,
-  teller: InstanceId,
+  announcer: InstanceId,
   revision: number,
   at: Millis,
 ): SpreadStep {
-  const { rootRequest: asking } = state;
-  if (asking && asking.revision >= revision) {
-    const tellers = [...asking.announcers.filter((id) => id !== teller), teller];
-    return createStep({ ...state, rootRequest: { ...asking, announcers: tellers.slice(-MAX_TELLERS) } });
+  const { rootRequest } = state;
+  if (rootRequest && rootRequest.revision >= revision) {
+    const announcers = [...rootRequest.announcers.filter((id) => id !== announcer), announcer];
+    return createStep({
+      ...state,
+      rootRequest: { ...rootRequest, announcers: announcers.slice(-MAX_ANNOUNCERS) },
+    });
   }
-  return askForRoot(ctx, state, teller, { revision, announcers: [], answerBy: at }, at);
+  return sendRootRequest(ctx, state, announcer, { revision, announcers: [], answerBy: at }, at);
 }
 
-function askForRoot(
+function sendRootRequest(
   ctx: SpreadContext,
   state: SpreadState,
   peer: InstanceId,
-  asking: RootRequest,
+  rootRequest: RootRequest,
   at: Millis,
 ): SpreadStep {
   const answerBy = at + ctx.settings.peerTimeout;
-  return createStep({ ...state, rootRequest: { ...asking, answerBy } }, [
+  return createStep({ ...state, rootRequest: { ...rootRequest, answerBy } }, [
     {
       type: 'send',
       to: peer,
@@ -113,19 +116,23 @@
   ]);
 }
 
-/** Asks the next peer that told of the revision if the one before has not answered. */
-export function requestRootFromNext(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  const { rootRequest: asking } = state;
-  if (!asking || at < asking.answerBy) {
+/** Requests the root from the next announcer if the previous one has not answered in time. */
+export function requestRootFromNext(
+  ctx: SpreadContext,
+  state: SpreadState,
+  at: Millis,
+): SpreadStep {
+  const { rootRequest } = state;
+  if (!rootRequest || at < rootRequest.answerBy) {
     return createStep(state);
   }
-  const [next, ...tellers] = asking.announcers;
+  const [next, ...announcers] = rootRequest.announcers;
   return next === undefined
     ? createStep({ ...state, rootRequest: null })
-    : askForRoot(ctx, state, next, { ...asking, announcers: tellers }, at);
+    : sendRootRequest(ctx, state, next, { ...rootRequest, announcers }, at);
 }
 
-/** Takes the chunks whose text is the one that their name stands for. */
+/** Adds the chunks whose text matches the hash in their ref to the target; drops and counts the others. */
 export function receiveChunks(
   state: SpreadState,
   chunks: Iterable<readonly [ChunkRef, string]>,
@@ -134,20 +141,20 @@
   if (!target) {
     return state;
   }
-  const all = new Map(target.chunks);
+  const allChunks = new Map(target.chunks);
   let dropped = 0;
   for (const [ref, text] of chunks) {
     if (matchesChunkHash(ref, text)) {
-      all.set(ref, text);
+      allChunks.set(ref, text);
     } else {
       dropped += 1;
     }
   }
   const counts = { ...state.counts, droppedChunks: state.counts.droppedChunks + dropped };
-  return { ...state, target: { ...target, chunks: all }, counts };
+  return { ...state, target: { ...target, chunks: allChunks }, counts };
 }
 
-/** Goes on with the target: holds it if it is whole, else asks its source for what is missing. */
+/** Holds the target if all its chunks are here, else requests the missing ones from its source. */
 export function advanceTarget(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const { target } = state;
   if (!target) {
@@ -160,14 +167,14 @@
     return createStep({ ...state, target: null, counts });
   }
   if (walk.kind === 'missing') {
-    return askSource(ctx, state, target, walk.refs, at);
+    return requestChunks(ctx, state, target, walk.refs, at);
   }
   const refs = [...listTreeChunks(walk.tree)];
   const chunks = new Map(refs.map((ref) => [ref, getChunk(ref) as string]));
   return holdManifest(ctx, state, { root: target.root, tree: walk.tree, chunks }, at);
 }
 
-function askSource(
+function requestChunks(
   ctx: SpreadContext,
   state: SpreadState,
   target: SpreadTarget,
@@ -187,24 +194,24 @@
           message: {
             type: 'asked',
             have: getRevisionOf(state.held),
-            refs: refs.slice(0, MAX_REFS_ASKED),
+            refs: refs.slice(0, MAX_REQUESTED_REFS),
           },
         }
       : { type: 'read-chunks', body: target.root.body, refs };
   return createStep({ ...state, target: { ...target, answerBy } }, [effect]);
 }
 
-/** After a failure or silence of the source: another peer, or, once enough were tried, the platform. */
+/** Replaces a failed or silent source with another peer or, after `peerTries` peers, the platform. */
 export function changeSource(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const { target } = state;
   if (!target) {
     return createStep(state);
   }
   const tried = target.triedPeers;
-  const rest = state.plan.ownDomain.filter(
+  const untriedPeers = state.plan.ownDomain.filter(
     (id) => id !== state.plan.self.id && !tried.includes(id),
   );
-  const [peer] = sampleElements(ctx.random, rest, 1);
+  const [peer] = sampleElements(ctx.random, untriedPeers, 1);
   if (target.source.kind === 'peer' && tried.length < ctx.settings.peerTries && peer) {
     const source: ChunkSource = { kind: 'peer', id: peer };
     const next = { ...target, source, triedPeers: [...tried, peer] };
@@ -215,8 +222,9 @@
 }
 
 /**
- * After the platform could not give a chunk: a pause, then peers again. The chunk may be gone because
- * the revision was superseded; then a peer or the poll will tell of the newer one.
+ * Pauses the fetch after the platform supplied none of the missing chunks; it is read again after a
+ * backoff, and a peer that announces the revision meanwhile becomes the source. The chunks may have been
+ * removed because the revision was superseded; the newer one then arrives from a peer or by the poll.
  */
 export function pauseTarget(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadState {
   const { target } = state;
@@ -229,19 +237,19 @@
   return { ...state, target: { ...target, source, triedPeers: [], answerBy, backoff } };
 }
 
-/** Peers of the own domain, or of the others if there are none. */
+/** Lists the peers of the own domain or, if there are none, those of the other domains. */
 function listNearestPeers({ plan }: SpreadState): readonly InstanceId[] {
   const near = plan.ownDomain.filter((id) => id !== plan.self.id);
   return near.length > 0 ? near : plan.others.map(({ id }) => id);
 }
 
-/** A peer to try first for a root that is not news to the fleet, the platform if there is none. */
+/** Chooses a random peer as the source of a root that is not new to the fleet; the platform if alone. */
 export function choosePeerSource(ctx: SpreadContext, state: SpreadState): ChunkSource {
   const [id] = sampleElements(ctx.random, listNearestPeers(state), 1);
   return id === undefined ? { kind: 'platform' } : { kind: 'peer', id };
 }
 
-/** A peer holds `revision`: if that is too low for what was asked of it, another source is tried. */
+/** Changes the source if `peer` is the current one and holds only a `revision` below the target's. */
 export function dropStaleSource(
   ctx: SpreadContext,
   state: SpreadState,
@@ -256,7 +264,7 @@
     : createStep(state);
 }
 
-/** Holds a whole manifest and tells the peers that depend on this instance for it. */
+/** Holds a complete manifest, announces it to peers and answers their pending queries. */
 function holdManifest(
   ctx: SpreadContext,
   state: SpreadState,
@@ -270,12 +278,12 @@
     refs: [...manifest.chunks.keys()].filter((ref) => !state.held?.chunks.has(ref)),
   };
   const deltas = [...state.deltas, delta].slice(-MAX_DELTAS);
-  const keeperAsk = drawQueryId(ctx);
+  const keeperQueryId = drawQueryId(ctx);
   const next: SpreadState = {
     ...state,
     held: manifest,
     heldSince: at,
-    keeperQueryId: keeperAsk,
+    keeperQueryId,
     isKept: false,
     rootRequest: null,
     target: null,
@@ -283,20 +291,20 @@
     pendingReplies: [],
   };
   const replies = new Map(state.pendingReplies.map(({ peer, ask }) => [peer, ask]));
-  const listeners = new Set([
+  const recipients = new Set([
     ...selectRecipients(state.plan, revision),
-    // Whoever is below an instance that just died, or lost a message, would else wait for gossip.
-    ...sampleElements(ctx.random, listNearestPeers(state), RANDOM_LISTENERS),
+    // Otherwise peers whose parent in the tree has failed, or whose message was lost, wait for gossip.
+    ...sampleElements(ctx.random, listNearestPeers(state), RANDOM_RECIPIENTS),
     ...replies.keys(),
   ]);
-  const effects = [...listeners].map((to) => {
-    const ask = state.plan.keepers.includes(to) ? keeperAsk : 0;
+  const effects = [...recipients].map((to) => {
+    const ask = state.plan.keepers.includes(to) ? keeperQueryId : 0;
     return createToldEffect(to, revision, { ask, reply: replies.get(to) ?? 0 });
   });
   return createStep(next, effects);
 }
 
-/** Answers a peer that asked: the root, what it added to what the peer holds, and the chunks named. */
+/** Sends a peer the root, the chunks added since its revision `have`, and those that it listed. */
 export function answerRequest(
   ctx: SpreadContext,
   state: SpreadState,
@@ -308,10 +316,10 @@
   if (!held) {
     return createStep(state, [createToldEffect(peer, 0)]);
   }
-  const wanted = new Set([...refs, ...listDelta(state, have)]);
+  const refsToSend = new Set([...refs, ...listDelta(state, have)]);
   const chunks: { ref: ChunkRef; text: string }[] = [];
   let bytes = 0;
-  for (const ref of wanted) {
+  for (const ref of refsToSend) {
     const text = held.chunks.get(ref);
     const fits = bytes + (text?.length ?? 0) <= ctx.settings.maxMessageBytes || bytes === 0;
     if (text !== undefined && fits) {
@@ -326,13 +334,16 @@
 
 function listDelta({ deltas, held }: SpreadState, have: number): readonly ChunkRef[] {
   const newer = deltas.filter(({ revision }) => revision > have);
-  // A delta that begins before `have` gives too much, but one that begins after it would give too little.
+  // A first delta based below `have` only includes excess chunks; one based above it would omit some.
   return newer[0] && newer[0].after <= have
     ? newer.flatMap(({ refs }) => refs).filter((ref) => held?.chunks.has(ref))
     : [];
 }
 
-/** Takes a peer's answer. An answer without anything new means that this peer cannot help. */
+/**
+ * Handles a peer's answer. An answer from the source with neither a higher root nor new chunks means that
+ * this peer cannot supply the missing ones, so the source is changed.
+ */
 export function receiveGiven(
   ctx: SpreadContext,
   state: SpreadState,
@@ -362,13 +373,13 @@
     { ...answered, target: base },
     chunks.map(({ ref, text }) => [ref, text] as const),
   );
-  const gained = (received.target?.chunks.size ?? 0) > base.chunks.size;
+  const hasNewChunks = (received.target?.chunks.size ?? 0) > base.chunks.size;
   const isFromSource = base.source.kind === 'peer' && base.source.id === from;
   if (!isHigher && !isFromSource) {
-    // A late answer: keep its chunks, and wait for the source that was asked meanwhile.
+    // A late answer: keeps its chunks and continues to wait for the current source.
     return createStep(received);
   }
-  return isHigher || gained
+  return isHigher || hasNewChunks
     ? advanceTarget(ctx, received, at)
     : continueStep(createStep(received), (next) => changeSource(ctx, next, at));
 }
--- a/packages/manifest/src/ManifestGarbage.ts
+++ b/packages/manifest/src/ManifestGarbage.ts
@@ -1,9 +1,10 @@
 /**
- * Removes chunks that nothing names any more: those of superseded revisions and of lost submissions.
- * It asks no submitter, however slow. A submission names chunks of the root that it was made from, and
- * new ones that carry that root's platform revision; and it is accepted only while that root stands. So
- * a chunk of an earlier generation that the present root does not name can never be named again.
- * Two collectors at once, or one that is paused and wakes, do no harm: no name is ever used twice.
+ * Removes unreferenced chunks: those of old superseded revisions and of submissions that were not
+ * accepted. This needs no coordination with submitters, however slow they are. A submission references
+ * chunks of the root that it is based on, and new chunks whose generation is that root's platform
+ * revision, and it is accepted only while that root is current. So a chunk of an earlier generation that
+ * is not reachable from the current root can never be referenced again. Concurrent collectors, and one
+ * that resumes after a pause, are safe because no chunk name is ever reused.
  */
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
@@ -16,15 +17,18 @@
 import type { ManifestRoot, RevisionSummary } from './ManifestRoot.js';
 import { CHUNK_PREFIX, chunkRefSchema, getChunkKey } from './ManifestRoot.js';
 
-/** Newest revisions whose chunks stay, for `diff`, `show` and readers that are slow. */
+/** Number of newest revisions whose chunks are retained for `diff`, `show` and slow readers. */
 export const RETAINED_REVISIONS = 16;
-/** Newest pages of the history that stay; a submission id is known as long as its page is. */
+/**
+ * Number of newest history pages that are retained. A repeated submission id is recognized as long as
+ * its page exists.
+ */
 export const RETAINED_PAGES = 32;
 
 export interface GarbageOptions {
-  /** Time of the context's timers at which the round ends, done or not. */
+  /** Time of the context's timers by which the round stops, even if it is incomplete. */
   readonly deadline: Millis;
-  /** Chunks removed in one round at the most; each costs two calls. */
+  /** Maximum number of chunks removed in one round; each removal takes two calls. */
   readonly maxRemovals: number;
 }
 
@@ -34,7 +38,7 @@
   readonly removed: number;
 }
 
-/** Runs one round of collection. */
+/** Runs one round of garbage collection. */
 export async function collectGarbage(
   ctx: StoreContext,
   options: GarbageOptions,
@@ -86,7 +90,7 @@
   root: ManifestRoot,
 ): Promise<Result<ReadonlySet<ChunkRef>, ReadFault>> {
   const refs = new Set<ChunkRef>();
-  const entries = await walkPages(ctx, deadline, root, refs);
+  const entries = await collectRetainedPages(ctx, deadline, root, refs);
   if (!entries.ok) {
     return entries;
   }
@@ -96,15 +100,16 @@
     if (tree.ok) {
       listTreeChunks(tree.value).forEach((ref) => refs.add(ref));
     } else if (tree.error.kind !== 'gone' || body === root.body) {
-      // An older body that is gone was collected in part by an earlier round; the present one is not.
+      // A missing chunk of an older body is ignored, because an earlier round may have collected that body
+      // in part. The current body is never collected, so a missing chunk of it is returned as a fault.
       return tree;
     }
   }
   return createOk(refs);
 }
 
-/** Adds the retained pages to `refs`; gives their entries, newest first. */
-async function walkPages(
+/** Adds the names of the retained pages to `refs` and returns their entries, newest first. */
+async function collectRetainedPages(
   ctx: StoreContext,
   deadline: Millis,
   root: ManifestRoot,
--- a/packages/manifest/src/ManifestJsonSchema.ts
+++ b/packages/manifest/src/ManifestJsonSchema.ts
@@ -1,8 +1,8 @@
-/** The published JSON Schema of a manifest, made from the schema that manifests are checked by. */
+/** Generates the published JSON Schema of a manifest from the schema that validates manifests. */
 import { z } from 'zod';
 import { manifestSchema } from './ManifestSchema.js';
 
-/** What a submitter may write: fields with a default may be left out. */
+/** Creates the schema of a submitter's input, in which fields with a default are optional. */
 export function createManifestJsonSchema(): Record<string, unknown> {
   return {
     ...z.toJSONSchema(manifestSchema, { io: 'input' }),
--- a/packages/manifest/src/ManifestPeers.ts
+++ b/packages/manifest/src/ManifestPeers.ts
@@ -1,33 +1,34 @@
-/** Who tells whom of a new revision: parts that each instance plays, by rendezvous over the members. */
+/** Fan-out of new revisions: roles of each instance, assigned by rendezvous hashing of the members. */
 import { selectOwners } from '@skylarksail/core/CoreHash';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { sampleElements } from '@skylarksail/core/CoreRandom';
 import type { DomainId, InstanceId } from '@skylarksail/core/CoreTypes';
 
-/** An instance as far as the manifest's spread is concerned. */
+/** An instance that takes part in the distribution of the manifest. */
 export interface SpreadMember {
   readonly id: InstanceId;
   readonly domain: DomainId;
 }
 
-/** Instances of a domain that watch the root. Two, so that one may die unnoticed for a while. */
+/** Instances of a domain that watch the root. With two, one may fail and go undetected for a while. */
 const WATCHERS = 2;
-/** Watchers of the fleet that read a new revision's chunks from the platform; the rest ask peers. */
+/** Watchers of the fleet that read a new revision's chunks from the platform; the rest use peers. */
 const READERS = 2;
-/** Instances of a domain that collect confirmations. */
+/** Instances of a domain that collect its confirmations. */
 const COLLECTORS = 2;
-/** Instances of the own domain that each one tells; a low number spreads the bytes evenly. */
+/** Children of an instance in its domain's fan-out tree; a low number spreads the sent bytes evenly. */
 const FAN_OUT = 2;
-const START_NEAR = 3;
-/** Peers that a starting instance asks at the least, if there are so many. */
-const START_TOTAL = 5;
+/** Random peers of the own domain that a starting instance queries besides its keepers. */
+const NEAR_START_PEERS = 3;
+/** Minimum of peers that a starting instance queries, if the fleet has as many. */
+const MIN_START_PEERS = 5;
 
-/** What an instance derives from the list of members. */
+/** Roles and peers that an instance derives from the list of members. */
 export interface PeerPlan {
   readonly self: SpreadMember;
-  /** All members but this one. */
+  /** All members except this instance. */
   readonly others: readonly SpreadMember[];
-  /** Ids of this domain's members, this one included. */
+  /** Ids of the members of this domain, including this instance. */
   readonly ownDomain: readonly InstanceId[];
   readonly domains: ReadonlyMap<DomainId, readonly InstanceId[]>;
   readonly isWatcher: boolean;
@@ -36,24 +37,25 @@
   /** First watcher of each other domain. */
   readonly farWatchers: readonly InstanceId[];
   /**
-   * Peers that hold a revision before this instance puts it into force, and that it asks when it starts
-   * again: they are chosen by its id alone, so that its next process finds them.
+   * Peers of which one must hold a revision before this instance puts it into force, and which it
+   * queries after a restart. They depend only on its id and the list of members, so that the restarted
+   * process selects the same ones.
    */
   readonly keepers: readonly InstanceId[];
   readonly collectors: ReadonlyMap<DomainId, readonly InstanceId[]>;
 }
 
-/** What follows from the list of members alone, the same for all instances. */
+/** The part of the plan that depends on the list of members alone, the same for all instances. */
 interface FleetPlan {
   readonly domains: ReadonlyMap<DomainId, readonly InstanceId[]>;
   readonly watchersOf: ReadonlyMap<DomainId, readonly InstanceId[]>;
   readonly collectors: ReadonlyMap<DomainId, readonly InstanceId[]>;
 }
 
-/** The plan of the newest list, as many instances of one process are given the same one in tests. */
-const fleetPlans = new WeakMap<readonly SpreadMember[], FleetPlan>();
+/** Plans by list of members: in tests, many instances of one process share the same list. */
+const fleetPlanCache = new WeakMap<readonly SpreadMember[], FleetPlan>();
 
-/** Works out the parts. `members` may or may not list `self`. */
+/** Derives the plan of `self`, which `members` may or may not contain. */
 export function createPeerPlan(self: SpreadMember, members: readonly SpreadMember[]): PeerPlan {
   const isListed = members.some(({ id }) => id === self.id);
   const { domains, watchersOf, collectors } = getFleetPlan(isListed ? members : [self, ...members]);
@@ -73,31 +75,34 @@
 }
 
 function getFleetPlan(members: readonly SpreadMember[]): FleetPlan {
-  const known = fleetPlans.get(members);
-  if (known) {
-    return known;
+  const cached = fleetPlanCache.get(members);
+  if (cached) {
+    return cached;
   }
   const domains = groupByDomain(members);
   const plan: FleetPlan = {
     domains,
-    watchersOf: selectInEach(domains, 'manifest-watch', WATCHERS),
-    collectors: selectInEach(domains, 'manifest-confirm', COLLECTORS),
+    watchersOf: selectInEachDomain(domains, 'manifest-watch', WATCHERS),
+    collectors: selectInEachDomain(domains, 'manifest-confirm', COLLECTORS),
   };
-  fleetPlans.set(members, plan);
+  fleetPlanCache.set(members, plan);
   return plan;
 }
 
-function selectInEach(
+function selectInEachDomain(
   domains: ReadonlyMap<DomainId, readonly InstanceId[]>,
-  part: string,
+  keyPrefix: string,
   count: number,
 ): ReadonlyMap<DomainId, readonly InstanceId[]> {
   return new Map(
-    [...domains].map(([domain, ids]) => [domain, selectOwners(`${part}/${domain}`, ids, count)]),
+    [...domains].map(([domain, ids]) => [
+      domain,
+      selectOwners(`${keyPrefix}/${domain}`, ids, count),
+    ]),
   );
 }
 
-/** One keeper in the own domain and one in another. */
+/** Selects one keeper in the own domain and one in another. */
 function selectKeepers(
   self: SpreadMember,
   domains: ReadonlyMap<DomainId, readonly InstanceId[]>,
@@ -124,42 +129,50 @@
 }
 
 /**
- * Peers to tell of a new revision. Each revision orders the domain anew into a tree; a watcher, which
- * is where the revision comes in, also tells the tree's first members and the other domains' watchers.
+ * Selects the peers to which this instance announces a new revision. The domain forms a fan-out tree
+ * whose order differs for each revision. Revisions enter the fleet at watchers, so a watcher also
+ * announces them to the first members of the tree and to one watcher of each other domain. Every
+ * instance also announces them to its keepers.
  */
 export function selectRecipients(plan: PeerPlan, revision: number): readonly InstanceId[] {
-  const order = selectOwners(`manifest-spread/${revision}`, plan.ownDomain, plan.ownDomain.length);
-  const place = order.indexOf(plan.self.id);
-  const below = order.slice(FAN_OUT * place + 1, FAN_OUT * place + 1 + FAN_OUT);
-  const entry = plan.isWatcher ? [...order.slice(0, FAN_OUT), ...plan.farWatchers] : [];
-  return [...new Set([...below, ...entry, ...plan.keepers])].filter((id) => id !== plan.self.id);
+  const ranking = selectOwners(
+    `manifest-spread/${revision}`,
+    plan.ownDomain,
+    plan.ownDomain.length,
+  );
+  const position = ranking.indexOf(plan.self.id);
+  const children = ranking.slice(FAN_OUT * position + 1, FAN_OUT * position + 1 + FAN_OUT);
+  const entryPeers = plan.isWatcher ? [...ranking.slice(0, FAN_OUT), ...plan.farWatchers] : [];
+  return [...new Set([...children, ...entryPeers, ...plan.keepers])].filter(
+    (id) => id !== plan.self.id,
+  );
 }
 
 /**
- * Turn of this instance in reading a revision's chunks from the platform: 0 for the two readers, which
- * read as soon as they see the root, 1 for the next watcher, and so on.
+ * Rank of this instance among the readers of a revision's chunks from the platform: 0 for the two
+ * readers, which read as soon as they see the root, 1 for the next watcher, and so on.
  */
 export function getReaderRank({ watchers, self }: PeerPlan, revision: number): number {
-  const order = selectOwners(`manifest-read/${revision}`, watchers, watchers.length);
-  return Math.max(0, order.indexOf(self.id) - READERS + 1);
+  const ranking = selectOwners(`manifest-read/${revision}`, watchers, watchers.length);
+  return Math.max(0, ranking.indexOf(self.id) - READERS + 1);
 }
 
-/** Peers that a starting instance asks: its keepers, and some of each domain. */
+/** Selects the peers that a starting instance queries: its keepers and some of each domain. */
 export function selectStartPeers(plan: PeerPlan, random: Random): readonly InstanceId[] {
   const near = sampleElements(
     random,
     plan.ownDomain.filter((id) => id !== plan.self.id),
-    START_NEAR,
+    NEAR_START_PEERS,
   );
   const far = [...plan.domains]
     .filter(([domain]) => domain !== plan.self.domain)
     .flatMap(([, ids]) => sampleElements(random, ids, 1));
   const chosen = new Set([...plan.keepers, ...near, ...far]);
   const rest = plan.others.map(({ id }) => id).filter((id) => !chosen.has(id));
-  return [...chosen, ...sampleElements(random, rest, Math.max(0, START_TOTAL - chosen.size))];
+  return [...chosen, ...sampleElements(random, rest, Math.max(0, MIN_START_PEERS - chosen.size))];
 }
 
-/** A random peer, mostly of the own domain: knowledge must also cross between domains, but less often. */
+/** Selects a random peer, mostly of the own domain; gossip must also cross domains, but less often. */
 export function selectGossipPeer(
   plan: PeerPlan,
   random: Random,
--- a/packages/manifest/src/ManifestReader.ts
+++ b/packages/manifest/src/ManifestReader.ts
@@ -1,4 +1,4 @@
-/** Reads the manifest's root, chunks and history from the platform's service. */
+/** Reads the root, the chunks and the history of the manifest from the platform. */
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import type { StoreContext } from './ManifestCalls.js';
@@ -8,28 +8,28 @@
 import type { HistoryPage, ManifestRoot, RevisionSummary } from './ManifestRoot.js';
 import { getChunkKey, parseHistoryPage, parseRoot, ROOT_KEY } from './ManifestRoot.js';
 
-/** The root with the revision that the platform's service gave its key; 0 and null before the first. */
+/** The root and the platform revision of its key; null and 0 before the first submission. */
 export interface StoredRoot {
   readonly platformRevision: number;
   readonly root: ManifestRoot | null;
 }
 
 /**
- * Why something could not be read. `gone`: a chunk is not there, as happens when its revision was
- * superseded and collected meanwhile; read the root again. `garbage`: what is stored makes no sense.
+ * Why a read failed. `gone`: a chunk does not exist, for example because its revision was superseded and
+ * garbage-collected in the meantime; read the root again. `garbage`: the stored value is invalid.
  */
 export type ReadFault =
   | { readonly kind: 'unavailable' }
   | { readonly kind: 'gone'; readonly ref: ChunkRef }
   | { readonly kind: 'garbage'; readonly key: string; readonly detail: string };
 
-/** A manifest read as a whole, with the chunks that had to be fetched for it. */
+/** A completely read manifest with the chunks that were fetched for it. */
 export interface LoadedManifest {
   readonly tree: ManifestTree;
   readonly fetched: ReadonlyMap<ChunkRef, string>;
 }
 
-/** Reads the root, trying until the deadline. */
+/** Reads the root, with retries until the deadline. */
 export async function readRoot(
   ctx: StoreContext,
   deadline: Millis,
@@ -44,7 +44,7 @@
   return parseStoredRoot(revision, value);
 }
 
-/** Reads what the service gave for the root's key. */
+/** Parses the value that the platform returned for the key of the root. */
 export function parseStoredRoot(
   platformRevision: number,
   value: string,
@@ -58,14 +58,16 @@
     : createFailed({ kind: 'garbage', key: ROOT_KEY, detail: parsed.error });
 }
 
-/** Reads one chunk and checks it against its hash. */
+/** Reads one chunk and verifies its hash. */
 export async function readChunk(
   ctx: StoreContext,
   deadline: Millis,
   ref: ChunkRef,
 ): Promise<Result<string, ReadFault>> {
   const key = getChunkKey(ref);
-  const { outcome } = await callWithRetry(ctx, deadline, (options) => ctx.platform.get(key, options));
+  const { outcome } = await callWithRetry(ctx, deadline, (options) =>
+    ctx.platform.get(key, options),
+  );
   if (outcome.kind !== 'done') {
     return createFailed({ kind: 'unavailable' });
   }
@@ -78,11 +80,11 @@
     : createFailed({ kind: 'garbage', key, detail: 'the text does not match its hash' });
 }
 
-function createUnreadable(body: ChunkRef): ReadFault {
+function createUnsupportedFormatFault(body: ChunkRef): ReadFault {
   return { kind: 'garbage', key: getChunkKey(body), detail: 'written by a later version' };
 }
 
-/** Loads the manifest that `root` names, fetching only what `knownChunks` lacks. */
+/** Loads the manifest of `root` and fetches only the chunks that `knownChunks` lacks. */
 export async function loadManifest(
   ctx: StoreContext,
   root: Pick<ManifestRoot, 'body'>,
@@ -96,7 +98,7 @@
       return createOk({ tree: walk.tree, fetched });
     }
     if (walk.kind === 'unreadable') {
-      return createFailed(createUnreadable(root.body));
+      return createFailed(createUnsupportedFormatFault(root.body));
     }
     const texts = await mapBounded(walk.refs, (ref) => readChunk(ctx, deadline, ref));
     for (const [i, text] of texts.entries()) {
@@ -108,7 +110,7 @@
   }
 }
 
-/** Reads the body and the index chunks that `root` names: a tree without the texts of its leaves. */
+/** Reads only the body and its index chunks, which together name all other chunks. */
 export async function readTreeIndex(
   ctx: StoreContext,
   deadline: Millis,
@@ -120,7 +122,7 @@
   }
   const body = parseBody(bodyText.value);
   if (!body) {
-    return createFailed(createUnreadable(bodyRef));
+    return createFailed(createUnsupportedFormatFault(bodyRef));
   }
   const texts = await mapBounded(body.indexes, (ref) => readChunk(ctx, deadline, ref));
   const leaves: ChunkRef[] = [];
@@ -150,8 +152,8 @@
 }
 
 /**
- * Follows the history backwards from the newest entry until `visit` returns true. Older pages that
- * were collected end the walk without a fault.
+ * Visits the history from the newest entry backwards until `visit` returns true. The walk ends without
+ * a fault at an older page that was garbage-collected.
  */
 export async function walkHistory(
   ctx: StoreContext,
@@ -174,7 +176,7 @@
   return createOk(null);
 }
 
-/** The newest accepted submissions, newest first, `count` at the most. */
+/** Reads at most `count` accepted submissions, newest first. */
 export async function readHistory(
   ctx: StoreContext,
   deadline: Millis,
--- a/packages/manifest/src/ManifestRoot.ts
+++ b/packages/manifest/src/ManifestRoot.ts
@@ -1,27 +1,25 @@
 /**
- * The root of the manifest: the one value whose swap accepts a submission. It names the body and the
- * newest page of the history, so that all of a revision changes at once.
+ * The root of the manifest: the single value whose compare-and-swap accepts a submission. It references
+ * the body and the newest page of the history, so that a revision changes atomically.
  */
 import { z } from 'zod';
 import type { Result } from '@skylarksail/core/CoreTypes';
 import { createFailed, createOk } from '@skylarksail/core/CoreTypes';
 import type { ChunkRef } from './ManifestChunks.js';
 
-/** Key of the root in the platform's service. */
+/** Key of the root in the platform's store. */
 export const ROOT_KEY = 'manifest/root';
-/** Prefix of the keys of chunks. */
+/** Key prefix of the chunks. */
 export const CHUNK_PREFIX = 'manifest/chunk/';
-/** Entries in one page of the history. */
+/** Maximum number of entries in one page of the history. */
 export const HISTORY_PAGE_LENGTH = 128;
 
-const hash = z.string().regex(/^[A-Za-z0-9_-]{43}$/);
-/** Shape of a chunk name. */
+const hashSchema = z.string().regex(/^[A-Za-z0-9_-]{43}$/);
 export const chunkRefSchema = z.string().regex(/^\d{1,15}-[A-Za-z0-9_-]{43}$/);
 
-/** Shape of the root. */
 export const rootSchema = z.strictObject({
   format: z.literal(1),
-  /** Rises by one with each accepted submission. */
+  /** Increases by one with each accepted submission. */
   revision: z.int().min(1),
   submission: z.string().min(1).max(200),
   body: chunkRefSchema,
@@ -34,8 +32,8 @@
   revision: z.int().min(1),
   submission: z.string(),
   body: chunkRefSchema,
-  /** Hash of the manifest however it is cut into chunks. */
-  content: hash,
+  /** Hash of the manifest, independent of how it is split into chunks. */
+  content: hashSchema,
 });
 
 const historyPageSchema = z.strictObject({
@@ -48,22 +46,22 @@
 export type RevisionSummary = z.output<typeof summarySchema>;
 export type HistoryPage = z.output<typeof historyPageSchema>;
 
-/** Key of a chunk in the platform's service. */
+/** Returns the key of a chunk in the platform's store. */
 export function getChunkKey(ref: ChunkRef): string {
   return `${CHUNK_PREFIX}${ref}`;
 }
 
-/** Reads a root as text; the failure says what is wrong with it. */
+/** Parses a root; the failure describes the error. */
 export function parseRoot(text: string): Result<ManifestRoot, string> {
-  return parseAs(rootSchema, text);
+  return parseWithSchema(rootSchema, text);
 }
 
-/** Reads a page of the history as text. */
+/** Parses a page of the history; the failure describes the error. */
 export function parseHistoryPage(text: string): Result<HistoryPage, string> {
-  return parseAs(historyPageSchema, text);
+  return parseWithSchema(historyPageSchema, text);
 }
 
-function parseAs<T>(schema: z.ZodType<T>, text: string): Result<T, string> {
+function parseWithSchema<T>(schema: z.ZodType<T>, text: string): Result<T, string> {
   let json: unknown;
   try {
     json = JSON.parse(text);
@@ -74,7 +72,10 @@
   return parsed.success ? createOk(parsed.data) : createFailed(z.prettifyError(parsed.error));
 }
 
-/** The page that follows `page` when `entry` is accepted; a full page becomes the previous one. */
+/**
+ * Returns the newest page after `entry` is accepted: `page` with the entry appended, or a new page that
+ * links to `page` if that is full.
+ */
 export function appendHistory(
   page: HistoryPage | null,
   pageRef: ChunkRef | null,
--- a/packages/manifest/src/ManifestRunner.ts
+++ b/packages/manifest/src/ManifestRunner.ts
@@ -1,4 +1,4 @@
-/** Runs the spread's machine against the platform, the peers and the timers of one instance. */
+/** Runs the manifest's state machine of one instance with its platform client, peers and timers. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { InstanceId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
@@ -27,10 +27,10 @@
 const TICK_PERIOD: Millis = 100;
 const READ_TIMEOUT: Millis = 5000;
 const WATCH_TIMEOUT: Millis = 10_000;
-/** A lost call is noticed soon, and yet a service that is slow by seconds is waited for. */
+/** Timeout of each attempt: the first detects a lost call soon, the last allows for seconds of latency. */
 const CHUNK_TIMEOUTS: readonly Millis[] = [250, 1000, 5000];
 
-/** What the spread of one instance needs from outside. */
+/** Dependencies and settings of the runner of one instance. */
 export interface ManifestRunnerOptions {
   readonly self: SpreadMember;
   readonly members: readonly SpreadMember[];
@@ -38,9 +38,9 @@
   readonly timers: TimerService;
   readonly random: Random;
   readonly settings?: SpreadSettings;
-  /** Best effort; a message may be lost, late or repeated. */
+  /** Best-effort delivery: a message may be lost, delayed or duplicated. */
   readonly sendToPeer: (to: InstanceId, message: SpreadMessage) => void;
-  /** Called each time that a revision comes into force, with the one before. */
+  /** Called whenever a revision comes into force, with the views of it and of the previous one. */
   readonly onInForce?: (view: ManifestView, previous: ManifestView | null) => void;
 }
 
@@ -48,18 +48,18 @@
   /** The view for new requests; null until a revision is in force. */
   getView(): ManifestView | null;
   getState(): SpreadState;
-  /** Takes what came from a peer, whatever it is. */
+  /** Handles input from a peer; anything that is not a valid message is dropped and counted. */
   receiveMessage(from: InstanceId, input: unknown): void;
   changeMembers(members: readonly SpreadMember[]): void;
-  /** Takes a submission accepted through this instance; see `SubmitOptions.onAccepted`. */
+  /** Handles a submission accepted through this instance; see `SubmitOptions.onAccepted`. */
   learnAccepted(root: ManifestRoot, chunks: ReadonlyMap<ChunkRef, string>): void;
-  /** Asks every domain how far a revision is in force; read the answers with `listInForce`. */
+  /** Queries every domain for the instances with a revision in force; see `listInForce` for the answers. */
   queryInForce(revision: number): void;
-  /** Stops for good. */
+  /** Stops the runner permanently. */
   stop(): void;
 }
 
-/** Starts the spread of one instance. */
+/** Starts the distribution of the manifest to one instance. */
 export function startManifestRunner(options: ManifestRunnerOptions): ManifestRunner {
   const { platform, timers, random, sendToPeer } = options;
   const ctx = { settings: options.settings ?? DEFAULT_SPREAD_SETTINGS, random };
@@ -69,7 +69,7 @@
   let isStepping = false;
   let isStopped = false;
 
-  /** Events that come up while one is stepped wait, so that the state changes in one place. */
+  /** Queues events that arise during a step, so that steps never nest. */
   function enqueue(event: SpreadEvent): void {
     queue.push(event);
     if (isStepping) {
@@ -120,7 +120,7 @@
     via: 'watch' | 'poll',
     read: () => Promise<StoreOutcome<StoreEntry>>,
   ): Promise<void> {
-    const reading = toReading(await read());
+    const reading = toRootReading(await read());
     enqueue({ type: 'root-read', at: timers.now(), via, reading });
   }
 
@@ -171,7 +171,7 @@
   };
 }
 
-function toReading(outcome: StoreOutcome<StoreEntry>): RootReading {
+function toRootReading(outcome: StoreOutcome<StoreEntry>): RootReading {
   if (outcome.kind !== 'done') {
     return { kind: 'failed' };
   }
--- a/packages/manifest/src/ManifestSchema.ts
+++ b/packages/manifest/src/ManifestSchema.ts
@@ -1,4 +1,4 @@
-/** Shape of a manifest, checked by the schema library; other modules use the types inferred here. */
+/** Schemas that validate a manifest, and the types that are inferred from them. */
 import { z } from 'zod';
 import { Priority } from '@skylarksail/core/CoreConstants';
 
@@ -8,10 +8,10 @@
 const name = z.string().regex(NAME_PATTERN, 'lower-case letters, digits, dots and hyphens');
 const priority = z.enum(Priority);
 
-/** A version of a model's weights. */
+/** One version of a model's weights. */
 export const versionSchema = z.strictObject({
   id: name,
-  /** Bytes of the weights of one layer. */
+  /** Size of one layer's weights in bytes. */
   layerBytes: z.int().positive(),
 });
 
@@ -19,37 +19,37 @@
   id: name,
   layers: z.int().min(1).max(1024),
   versions: z.array(versionSchema).min(1),
-  /** Version that new requests run. */
+  /** Version that serves new requests. */
   serve: name,
   adapters: z.array(name).default([]),
-  /** Bytes that pass from one stage to the next for one token. */
+  /** Bytes that one stage sends to the next per token. */
   activationBytes: z.int().positive().default(16384),
   maxContextTokens: z.int().positive().default(32768),
 });
 
 export const teamSchema = z.strictObject({
   id: name,
-  /** SHA-256 of each bearer key; the keys themselves are never in a manifest. */
+  /** SHA-256 of each bearer key; a manifest never contains the keys themselves. */
   keyHashes: z.array(z.string().regex(KEY_HASH_PATTERN)).min(1),
   models: z.array(name).default([]),
   services: z.array(name).default([]),
-  /** Weight in the sharing of capacity between teams that want more than there is. */
+  /** Weight by which teams share capacity when demand exceeds it. */
   share: z.number().positive().max(1000).default(1),
   maxPriority: priority.default('normal'),
-  /** Requests of this team that may wait at one instance. */
+  /** Maximum number of queued requests of this team at one instance. */
   queueLimit: z.int().min(0).max(10000).default(64),
 });
 
 export const routeSchema = z.strictObject({
   method: z.enum(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE']),
-  /** Path below the service, exact or ending in `*`. */
+  /** Path relative to the service: an exact path, or a prefix that ends in `*`. */
   path: z.string().startsWith('/'),
   idempotent: z.boolean(),
 });
 
 export const serviceSchema = z.strictObject({
   id: name,
-  /** Calls that differ from what their method promises (GET, HEAD, PUT and DELETE are idempotent). */
+  /** Routes that override whether their method is idempotent; GET, HEAD, PUT and DELETE are by default. */
   routes: z.array(routeSchema).default([]),
   timeoutMs: z.int().positive().default(10000),
 });
@@ -57,14 +57,14 @@
 export const domainSchema = z.strictObject({
   id: name,
   region: name.default('local'),
-  /** What the domain must be able to serve, model by model. */
+  /** Models that the domain must be able to serve. */
   serves: z
     .array(
       z.strictObject({
         model: name,
-        /** Least capacity that must stay up while versions or layer ranges change. */
+        /** Minimum capacity that must stay available while versions or layer ranges change. */
         minTokensPerSecond: z.number().min(0).default(0),
-        /** Share of the domain's accelerators beyond the minimum. */
+        /** Weight by which the model shares the domain's accelerators beyond the minimum. */
         weight: z.number().positive().default(1),
       }),
     )
@@ -78,12 +78,12 @@
   weightBytes: z.number().positive(),
   kvLayerTokens: z.number().positive(),
   maxBatch: z.int().positive().default(64),
-  /** Whether these engines refuse an order with an old fencing number. */
+  /** Whether engines on this accelerator reject an order with an outdated fencing number. */
   checksFencing: z.boolean().default(false),
 });
 
 export const linkSchema = z.strictObject({
-  /** Racks, domains or regions that the link joins; `*` is any other. */
+  /** Racks, domains or regions that the link connects; `*` matches any other. */
   from: z.string(),
   to: z.string(),
   bytesPerSecond: z.number().positive(),
@@ -91,16 +91,16 @@
 });
 
 export const limitsSchema = z.strictObject({
-  /** Deadline of a request that names none. */
+  /** Deadline of a request that does not specify one. */
   defaultDeadlineMs: z.int().positive().default(60000),
   maxDeadlineMs: z.int().positive().default(600000),
-  /** Retries as a share of first tries, over the whole fleet. */
+  /** Maximum ratio of retries to first attempts across the whole fleet. */
   retryShare: z.number().min(0).max(1).default(0.1),
-  /** Share of a domain's capacity that may be lent to other domains. */
+  /** Share of a domain's capacity that other domains may use. */
   crossDomainShare: z.number().min(0).max(1).default(0.2),
-  /** How long the claim of a keyed request is kept. */
+  /** Retention time of the claim of a request with an idempotency key. */
   claimRetentionMs: z.int().positive().default(86400000),
-  /** Crashes after which a request is refused. */
+  /** Number of crashes after which a request is rejected as a poison request. */
   poisonCrashes: z.int().min(1).default(2),
 });
 
--- a/packages/manifest/src/ManifestSlices.ts
+++ b/packages/manifest/src/ManifestSlices.ts
@@ -1,18 +1,19 @@
 /**
- * Long work in slices. Checking and cutting 47,000 teams takes about a second; done in one go on the one
- * loop, it would show as a gap in every stream of the instance that takes a submission.
+ * Cooperative scheduling of long computations. Validating and splitting 47,000 teams takes about a
+ * second. Without interruptions it would block the event loop and stall every stream of the instance
+ * that handles the submission.
  */
 
-/** Work that yields where it may be interrupted. */
+/** A computation that yields where it may be interrupted. */
 export type SlicedWork<T> = Generator<void, T, void>;
 
-/** Teams, or leaves, that are worked on between two interruptions: a few milliseconds. */
+/** Number of teams or leaves processed between two interruptions; this takes a few milliseconds. */
 export const SLICE_LENGTH = 256;
 
-/** Lets other work of the loop run. */
+/** Lets other tasks of the event loop run. */
 export type Pause = () => Promise<void>;
 
-/** Does the work in one go. */
+/** Runs the computation without interruption. */
 export function runSynchronously<T>(work: SlicedWork<T>): T {
   for (;;) {
     const step = work.next();
@@ -22,7 +23,7 @@
   }
 }
 
-/** Does the work with a pause wherever it yields. */
+/** Runs the computation and pauses wherever it yields. */
 export async function runInSlices<T>(work: SlicedWork<T>, pause: Pause): Promise<T> {
   for (;;) {
     const step = work.next();
@@ -33,7 +34,7 @@
   }
 }
 
-/** Maps elements, yielding after each slice. */
+/** Maps elements and yields after each slice. */
 export function* mapInSlices<T, R>(
   elements: readonly T[],
   convert: (element: T, i: number) => R,
--- a/packages/manifest/src/ManifestSpread.ts
+++ b/packages/manifest/src/ManifestSpread.ts
@@ -1,7 +1,8 @@
 /**
- * How a revision gets into force at one instance, as a pure machine. Few instances of a domain watch the
- * root; the others learn from peers; a slow poll by each is the safety net. Revisions only rise. After a
- * start nothing is in force before the platform, or several peers, have been heard.
+ * Distribution of accepted revisions to one instance, as a pure state machine. Few instances of a domain
+ * watch the root, the others receive new revisions from peers, and each polls at a low rate as a
+ * fallback. The revision in force only rises. After a start, none is in force until the platform or
+ * several peers have answered.
  */
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -48,7 +49,7 @@
 
 const GOSSIP_JITTER = 0.3;
 
-/** State of an instance that has not started. */
+/** Creates the state of an instance that has not started. */
 export function createSpread(self: SpreadMember, members: readonly SpreadMember[]): SpreadState {
   return {
     plan: createPeerPlan(self, members),
@@ -74,13 +75,13 @@
   };
 }
 
-/** Takes one event. */
+/** Handles one event, then puts the held revision into force if that is allowed by now. */
 export function stepSpread(ctx: SpreadContext, state: SpreadState, event: SpreadEvent): SpreadStep {
-  const step = takeEvent(ctx, state, event);
+  const step = handleEvent(ctx, state, event);
   return continueStep(step, (next) => putInForce(ctx, next, event.at));
 }
 
-function takeEvent(ctx: SpreadContext, state: SpreadState, event: SpreadEvent): SpreadStep {
+function handleEvent(ctx: SpreadContext, state: SpreadState, event: SpreadEvent): SpreadStep {
   switch (event.type) {
     case 'started':
       return startSpread(ctx, state, event.at);
@@ -91,7 +92,7 @@
     case 'root-read':
       return receiveRoot(ctx, state, event.via, event.reading, event.at);
     case 'chunks-read':
-      return receiveRead(ctx, state, event);
+      return receiveChunksRead(ctx, state, event);
     case 'message':
       return receiveMessage(ctx, state, event.from, event.message, event.at);
     case 'accepted':
@@ -116,10 +117,10 @@
     confirmAt: at + jitter(ctx.random, ctx.settings.confirmPeriod, GOSSIP_JITTER),
     watch: { ...state.watch, backoff: ctx.settings.minBackoff },
   };
-  const asked = continueStep(beginStart(ctx, timed, at), (next) =>
+  const started = continueStep(beginStart(ctx, timed, at), (next) =>
     createStep(next, [{ type: 'read-root' }]),
   );
-  return continueStep(asked, (next) => ensureWatch(next, at));
+  return continueStep(started, (next) => ensureWatch(next, at));
 }
 
 function changeMembers(
@@ -130,14 +131,23 @@
   const before = state.plan;
   const plan = createPeerPlan(before.self, members);
   const next = pruneConfirmations({ ...state, plan });
-  const own = plan.self.domain;
-  const isSameCollectors = String(before.collectors.get(own)) === String(plan.collectors.get(own));
-  const confirmed = isSameCollectors || !state.inForce ? createStep(next) : sendConfirmation(next);
+  const ownDomain = plan.self.domain;
+  const hasSameCollectors =
+    String(before.collectors.get(ownDomain)) === String(plan.collectors.get(ownDomain));
+  const confirmed = hasSameCollectors || !state.inForce ? createStep(next) : sendConfirmation(next);
   return continueStep(confirmed, (following) => ensureWatch(following, at));
 }
 
 function tick(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  const parts = [advanceStart, poll, gossip, confirmAgain, watchAgain, fetchAgain, requestRootFromNext];
+  const parts = [
+    advanceStart,
+    poll,
+    gossip,
+    repeatConfirmation,
+    retryWatch,
+    retryFetch,
+    requestRootFromNext,
+  ];
   return parts.reduce<SpreadStep>(
     (step, part) => continueStep(step, (next) => part(ctx, next, at)),
     createStep(state),
@@ -151,10 +161,13 @@
   const gossipAt = at + jitter(ctx.random, ctx.settings.gossipPeriod, GOSSIP_JITTER);
   const to = selectGossipPeer(state.plan, ctx.random, ctx.settings.gossipFarShare);
   const revision = getRevisionOf(state.held);
-  return createStep({ ...state, gossipAt }, to === undefined ? [] : [createToldEffect(to, revision)]);
+  return createStep(
+    { ...state, gossipAt },
+    to === undefined ? [] : [createToldEffect(to, revision)],
+  );
 }
 
-function confirmAgain(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
+function repeatConfirmation(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   if (at < state.confirmAt) {
     return createStep(state);
   }
@@ -163,17 +176,17 @@
   return state.inForce ? sendConfirmation(next) : createStep(next);
 }
 
-function watchAgain(_ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
+function retryWatch(_ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   return ensureWatch(state, at);
 }
 
-function fetchAgain(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
+function retryFetch(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   return state.target && at >= state.target.answerBy
     ? changeSource(ctx, state, at)
     : createStep(state);
 }
 
-function receiveRead(
+function receiveChunksRead(
   ctx: SpreadContext,
   state: SpreadState,
   event: Extract<SpreadEvent, { type: 'chunks-read' }>,
@@ -181,11 +194,11 @@
   const received = receiveChunks(state, event.chunks);
   const { target } = received;
   if (!target || target.root.body !== event.body || target.source.kind !== 'platform') {
-    // The end of a read for a root that was superseded meanwhile, or whose source was changed.
+    // The read was for a root that has been superseded, or whose source has changed.
     return createStep(received);
   }
-  const gained = event.chunks.size > 0;
-  return gained
+  const hasChunks = event.chunks.size > 0;
+  return hasChunks
     ? advanceTarget(ctx, received, event.at)
     : createStep(pauseTarget(ctx, received, event.at));
 }
@@ -223,7 +236,7 @@
   }
 }
 
-/** A peer said what it holds: ask it if that is higher, tell it if it is lower. */
+/** Handles the revision that a peer holds: fetches a higher one, replies to a lower one or to a query. */
 function receiveTold(
   ctx: SpreadContext,
   state: SpreadState,
@@ -231,60 +244,65 @@
   { revision, ask, reply }: Extract<SpreadMessage, { type: 'told' }>,
   at: Millis,
 ): SpreadStep {
-  const heard = noteKeeper(receiveStartAnswer(state, from, revision, reply), revision, reply);
-  const given = dropStaleSource(ctx, heard, from, revision, at);
-  return continueStep(given, (noted) => answerTold(ctx, noted, from, { revision, ask }, at));
+  const answered = recordKeeperAnswer(
+    receiveStartAnswer(state, from, revision, reply),
+    revision,
+    reply,
+  );
+  const checked = dropStaleSource(ctx, answered, from, revision, at);
+  return continueStep(checked, (next) => answerTold(ctx, next, from, { revision, ask }, at));
 }
 
 function answerTold(
   ctx: SpreadContext,
-  noted: SpreadState,
+  state: SpreadState,
   from: InstanceId,
   { revision, ask }: { readonly revision: number; readonly ask: number },
   at: Millis,
 ): SpreadStep {
-  const own = getRevisionOf(noted.held);
+  const own = getRevisionOf(state.held);
   if (revision > own) {
-    const waiting = ask === 0 ? noted : addWaiter(noted, from, ask);
-    const isNews = revision > getKnownRevision(noted) && noted.start?.goal !== null;
-    return isNews
-      ? requestRoot(ctx, waiting, from, revision, at)
-      : adoptPeerSource(ctx, waiting, from, revision, at);
+    const next = ask === 0 ? state : addPendingReply(state, from, ask);
+    const isNewRevision = revision > getKnownRevision(state) && state.start?.goal !== null;
+    return isNewRevision
+      ? requestRoot(ctx, next, from, revision, at)
+      : adoptPeerSource(ctx, next, from, revision, at);
   }
   return ask !== 0 || revision < own
-    ? createStep(noted, [createToldEffect(from, own, { reply: ask })])
-    : createStep(noted);
+    ? createStep(state, [createToldEffect(from, own, { reply: ask })])
+    : createStep(state);
 }
 
-function addWaiter(state: SpreadState, peer: InstanceId, ask: number): SpreadState {
+function addPendingReply(state: SpreadState, peer: InstanceId, ask: number): SpreadState {
   const others = state.pendingReplies.filter((waiter) => waiter.peer !== peer);
   return { ...state, pendingReplies: [...others, { peer, ask }] };
 }
 
-function noteKeeper(state: SpreadState, revision: number, reply: number): SpreadState {
+function recordKeeperAnswer(state: SpreadState, revision: number, reply: number): SpreadState {
   const isAnswer = reply !== 0 && reply === state.keeperQueryId;
   return isAnswer && revision >= getRevisionOf(state.held) ? { ...state, isKept: true } : state;
 }
 
 /**
- * Puts the held revision into force: only a higher one, not before the start is over, and only once a
- * keeper holds it too. Without that last condition, an instance could serve a revision that it alone
- * had read, restart in an outage of the platform, and learn a lower one from its peers.
+ * Puts the held revision into force if it is higher, the start is over and a keeper holds it too; the
+ * last condition is dropped without keepers and after `holdLimit`. Without it, an instance could serve a
+ * revision that it alone holds, restart during an outage of the platform and receive a lower one from
+ * its peers.
  */
 function putInForce(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const { held } = state;
   if (!held || state.start || held.root.revision <= getRevisionOf(state.inForce)) {
     return createStep(state);
   }
-  const mayWait = state.plan.keepers.length > 0 && at < state.heldSince + ctx.settings.holdLimit;
-  if (!state.isKept && mayWait) {
+  const canWait = state.plan.keepers.length > 0 && at < state.heldSince + ctx.settings.holdLimit;
+  if (!state.isKept && canWait) {
     return createStep(state);
   }
   const applied = createStep({ ...state, inForce: held }, [{ type: 'apply', manifest: held }]);
   return continueStep(applied, sendConfirmation);
 }
 
-/** How the instance knows the revision in force, for readiness and status. */
+/** Returns where the instance learned the revision in force, for readiness and status. */
 export function getKnownBy(state: SpreadState): KnownByName {
   if (state.platformSeen !== null && state.platformSeen >= getRevisionOf(state.inForce)) {
     return KnownBy.Platform;
--- a/packages/manifest/src/ManifestSpreadTypes.ts
+++ b/packages/manifest/src/ManifestSpreadTypes.ts
@@ -1,4 +1,4 @@
-/** State, events and effects of the manifest's spread at one instance. */
+/** State, events and effects of the state machine that distributes the manifest, for one instance. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { ChunkRef } from './ManifestChunks.js';
@@ -7,33 +7,36 @@
 import type { ManifestRoot } from './ManifestRoot.js';
 import type { HeldManifest } from './ManifestView.js';
 
-/** Times and bounds of the spread. */
+/** Timeouts, periods and limits of manifest distribution. */
 export interface SpreadSettings {
-  /** Wait for a peer's answer before another is asked. */
+  /** Time to wait for a peer's answer before trying another source. */
   readonly peerTimeout: Millis;
-  /** Peers that are asked for a chunk before the platform is. */
+  /** Number of peers to try before fetching from the platform. */
   readonly peerTries: number;
-  /** The first watcher that is no reader waits so long for a peer that holds the revision, the next
-   * twice as long, and so on: if the readers are gone, not all others read at once. */
+  /**
+   * Time that a watcher of reader rank 1 waits for a peer that holds a new revision before it reads
+   * from the platform itself; rank 2 waits twice as long, and so on. The remaining watchers then do not
+   * all read at once if the readers have failed.
+   */
   readonly readerTimeout: Millis;
-  /** A starting instance waits so long for the platform and for the peers that it asked. */
+  /** Time that a starting instance waits for the platform and for the peers it queried. */
   readonly startLimit: Millis;
-  /** After so long without the revision that a peer spoke of, the start asks anew. */
+  /** Time to fetch the revision chosen at the start; after it, the peers are queried again. */
   readonly startFetchLimit: Millis;
-  /** A revision is put into force after so long even if no keeper has said that it holds it. */
+  /** Time after which a held revision comes into force even if no keeper has confirmed holding it. */
   readonly holdLimit: Millis;
   readonly gossipPeriod: Millis;
-  /** Share of gossip that may go to another domain. */
+  /** Probability that a gossip message goes to a random peer of any domain instead of the own one. */
   readonly gossipFarShare: number;
-  /** The poll's period is this for each instance of the fleet, so that the whole fleet's rate is flat. */
+  /** Poll period for each instance of the fleet, so that the poll rate of the whole fleet is constant. */
   readonly pollPeriodPerInstance: Millis;
   readonly minPollPeriod: Millis;
-  /** First and last wait after a failed watch or a failed read of chunks. */
+  /** First and longest delay of the backoff after a failed watch or a failed read of chunks. */
   readonly minBackoff: Millis;
   readonly maxBackoff: Millis;
-  /** Period in which confirmations are sent again, in case a collector was lost. */
+  /** Period at which confirmations are resent, in case a collector has failed. */
   readonly confirmPeriod: Millis;
-  /** Bytes of chunks in one message at the most. */
+  /** Maximum bytes of chunks in one message; a single chunk that exceeds it is sent alone. */
   readonly maxMessageBytes: number;
 }
 
@@ -54,62 +57,69 @@
   maxMessageBytes: 256 * 1024,
 };
 
-/** How an instance knows the revision that it has in force. */
+/** Where an instance learned the revision that it has in force. */
 export const KnownBy = {
-  /** It read that revision, or that there is none, from the platform itself. */
+  /** The instance read this revision or a later one, or that there is none, from the platform. */
   Platform: 'platform',
-  /** Peers told it, and it has not seen it at the platform yet. */
+  /** Peers sent the revision, and the instance has not yet read it from the platform. */
   Peers: 'peers',
   Nothing: 'nothing',
 } as const;
 
 export type KnownByName = (typeof KnownBy)[keyof typeof KnownBy];
 
-/** Where chunks are asked for; `none` while a peer's word is awaited, or the platform's recovery. */
+/**
+ * Where chunks are requested from. `none` while waiting for a peer to announce the revision, or during
+ * the backoff after the platform could not supply chunks.
+ */
 export type ChunkSource =
   | { readonly kind: 'platform' }
   | { readonly kind: 'peer'; readonly id: InstanceId }
   | { readonly kind: 'none' };
 
-/** A higher revision that peers told of and whose root was asked for. */
+/** A request to peers for the root of a higher revision that they announced. */
 export interface RootRequest {
   readonly revision: number;
-  /** Peers that told of it and were not asked yet: one is asked at a time, as each gives the delta. */
+  /**
+   * Peers that announced the revision and were not asked yet. Only one is asked at a time, because each
+   * answer carries the whole delta.
+   */
   readonly announcers: readonly InstanceId[];
   readonly answerBy: Millis;
 }
 
-/** A higher revision that is being fetched. */
+/** The higher revision that is being fetched. */
 export interface SpreadTarget {
   readonly root: ManifestRoot;
   readonly chunks: ReadonlyMap<ChunkRef, string>;
   readonly source: ChunkSource;
   readonly triedPeers: readonly InstanceId[];
-  /** When the source is given up; a read from the platform ends by itself. */
+  /** Deadline of the current source; infinite for the platform, whose reads have their own timeouts. */
   readonly answerBy: Millis;
   readonly backoff: Millis;
 }
 
-/** A peer that asked whether a revision is held here, with the number to repeat. */
+/** A peer that asked about a revision not held here yet, with the query id to repeat in the reply. */
 export interface PendingReply {
   readonly peer: InstanceId;
   readonly ask: number;
 }
 
-/** The asking of peers after a start. */
+/** The query to peers after a start. */
 export interface SpreadStart {
-  /** Number that answers must repeat. */
+  /** Query id that answers must repeat. */
   readonly ask: number;
   readonly queriedPeers: readonly InstanceId[];
   readonly answers: ReadonlyMap<InstanceId, number>;
-  /** Whether a read of the platform got no answer since the start began. */
+  /** Whether a read of the root from the platform has failed since the start began. */
   readonly isPlatformUnavailable: boolean;
   /**
-   * Highest answer, once it is decided on; the start ends when it is held. Were it to end before, and
-   * the peer with the highest die, a lower revision would be taken from another.
+   * Highest revision among the answers, once chosen; the start ends when it is held. If the start
+   * ended earlier and the peer with that revision failed, a lower one could come into force from
+   * another peer.
    */
   readonly goal: number | null;
-  /** When the asking ends, or begins anew if the goal was not reached. */
+  /** Deadline for the answers and then for reaching the goal; a missed goal starts a new query. */
   readonly endsAt: Millis;
 }
 
@@ -117,18 +127,19 @@
   readonly isWaiting: boolean;
   readonly retryAt: Millis;
   readonly backoff: Millis;
+  /** Revision that the platform's service last returned for the root's key; not that of the manifest. */
   readonly platformRevision: number;
 }
 
-/** A digest with the time at which it came. */
+/** A digest with the time at which it was received. */
 export interface SeenDigest {
   readonly digest: ConfirmDigest;
   readonly at: Millis;
 }
 
-/** Refs that a revision added, so that a peer that holds the one before is given just these. */
+/** Chunks that a revision added: a peer that holds the revision before it is sent only these. */
 export interface RevisionDelta {
-  /** Revision that was held before. */
+  /** Revision that the delta applies to: the one held before. */
   readonly after: number;
   readonly revision: number;
   readonly refs: readonly ChunkRef[];
@@ -138,11 +149,12 @@
   readonly droppedMessages: number;
   readonly droppedChunks: number;
   /**
-   * Roots from the platform that are older than one held here, or differ from it. One now and then is a
-   * slow answer; a steady rise means that the service was restored from a backup.
+   * Roots read from the platform that are older than the highest seen, or differ from the held root of
+   * the same revision. A single one can be a delayed answer; a steady rise means that the service was
+   * restored from a backup.
    */
   readonly olderRoots: number;
-  /** Revisions written in a format of a later version; what is in force stays. */
+  /** Revisions in a format of a later version; the revision in force is kept. */
   readonly unreadableRoots: number;
 }
 
@@ -150,21 +162,22 @@
   readonly plan: PeerPlan;
   /** Null once the start is over. */
   readonly start: SpreadStart | null;
-  /** The highest revision whose chunks are all here. */
+  /** The highest revision whose chunks are all held by this instance. */
   readonly held: HeldManifest | null;
   readonly heldSince: Millis;
   readonly inForce: HeldManifest | null;
   readonly rootRequest: RootRequest | null;
   readonly target: SpreadTarget | null;
   readonly deltas: readonly RevisionDelta[];
-  /** Number that the keepers' answers about the held revision must repeat. */
+  /** Query id that the keepers' answers about the held revision must repeat. */
   readonly keeperQueryId: number;
   /**
-   * Whether a keeper has answered, after this instance held the revision, that it holds it too. An
-   * earlier word would not do: the keeper may have restarted since, and learned less.
+   * Whether a keeper has answered that it holds this revision, in reply to a query sent after this
+   * instance held it. An earlier answer does not count: the keeper may have restarted since and hold
+   * a lower revision.
    */
   readonly isKept: boolean;
-  /** Peers that want to hear once the next revision is held here. */
+  /** Peers to answer as soon as the next revision is held here. */
   readonly pendingReplies: readonly PendingReply[];
   /** Highest revision read from the platform; null before the first answer. */
   readonly platformSeen: number | null;
@@ -173,13 +186,13 @@
   readonly pollAt: Millis;
   readonly gossipAt: Millis;
   readonly confirmAt: Millis;
-  /** As a collector: what the own domain's instances have confirmed. */
+  /** For a collector: the revision that each instance of its domain has confirmed. */
   readonly confirmed: ReadonlyMap<InstanceId, number>;
   readonly digests: ReadonlyMap<DomainId, SeenDigest>;
   readonly counts: SpreadCounts;
 }
 
-/** A read of the root: what was there, or that no answer came. */
+/** Result of reading the root; `failed` if there was no answer or it could not be parsed. */
 export type RootReading =
   | {
       readonly kind: 'read';
@@ -188,7 +201,7 @@
     }
   | { readonly kind: 'failed' };
 
-/** All times are the instance's own monotonic ones. */
+/** Inputs of the state machine. All times are on the instance's own monotonic clock. */
 export type SpreadEvent =
   | {
       readonly type: 'started';
@@ -206,7 +219,7 @@
       readonly via: 'watch' | 'poll';
       readonly reading: RootReading;
     }
-  /** The end of a `read-chunks`; a ref that is missing could not be read. */
+  /** Result of a `read-chunks` effect; a ref that is missing could not be read. */
   | {
       readonly type: 'chunks-read';
       readonly at: Millis;
@@ -219,16 +232,16 @@
       readonly from: InstanceId;
       readonly message: SpreadMessage;
     }
-  /** A submission through this instance was accepted, which is as good as reading it. */
+  /** A submission through this instance was accepted: equivalent to reading its root. */
   | {
       readonly type: 'accepted';
       readonly at: Millis;
       readonly root: ManifestRoot;
       readonly chunks: ReadonlyMap<ChunkRef, string>;
     }
-  /** A peer sent what is no message. */
+  /** A peer sent something that is not a valid message. */
   | { readonly type: 'garbage'; readonly at: Millis; readonly from: InstanceId }
-  /** An operator asks how far a revision is in force. */
+  /** An operator queries how many instances have a revision in force. */
   | { readonly type: 'digest-wanted'; readonly at: Millis; readonly revision: number };
 
 export type SpreadEffect =
@@ -236,29 +249,32 @@
   | { readonly type: 'read-root' }
   | { readonly type: 'read-chunks'; readonly body: ChunkRef; readonly refs: readonly ChunkRef[] }
   | { readonly type: 'send'; readonly to: InstanceId; readonly message: SpreadMessage }
-  /** Serve new requests under this revision from now on. */
+  /** Use this revision for new requests from now on. */
   | { readonly type: 'apply'; readonly manifest: HeldManifest };
 
-/** What a step gives: the next state, and what is to be done outside. */
+/** Result of a step: the next state and the effects for the caller to run. */
 export interface SpreadStep {
   readonly state: SpreadState;
   readonly effects: readonly SpreadEffect[];
 }
 
-/** What steps draw on besides the state. */
+/** Inputs of a step besides the state and the event. */
 export interface SpreadContext {
   readonly settings: SpreadSettings;
   readonly random: Random;
 }
 
-const ASK_NUMBERS = 2 ** 31 - 1;
+const MAX_QUERY_ID = 2 ** 31 - 1;
 
-/** A number for a question, so that answers to an earlier process of the same id do not count. */
+/** Draws a random query id; answers to an earlier process of this instance do not match it. */
 export function drawQueryId(ctx: SpreadContext): number {
-  return 1 + ctx.random.nextInt(ASK_NUMBERS);
+  return 1 + ctx.random.nextInt(MAX_QUERY_ID);
 }
 
-/** A message that tells what is held here. */
+/**
+ * Creates the effect that sends the held revision to a peer. A nonzero `ask` requests an answer; `reply`
+ * repeats the query id of the peer.
+ */
 export function createToldEffect(
   to: InstanceId,
   revision: number,
@@ -267,12 +283,11 @@
   return { type: 'send', to, message: { type: 'told', revision, ask, reply } };
 }
 
-/** A step without effects. */
 export function createStep(state: SpreadState, effects: readonly SpreadEffect[] = []): SpreadStep {
   return { state, effects };
 }
 
-/** Goes on from a step; effects add up in order. */
+/** Applies `next` to the state of a step and appends its effects to those of the step. */
 export function continueStep(
   step: SpreadStep,
   next: (state: SpreadState) => SpreadStep,
@@ -283,7 +298,7 @@
     : { state: following.state, effects: [...step.effects, ...following.effects] };
 }
 
-/** Revision of a manifest or of none. */
+/** Revision of a manifest, 0 for none. */
 export function getRevisionOf(manifest: HeldManifest | null): number {
   return manifest?.root.revision ?? 0;
 }
--- a/packages/manifest/src/ManifestStart.ts
+++ b/packages/manifest/src/ManifestStart.ts
@@ -1,6 +1,7 @@
 /**
- * The start of an instance: it hears the platform, or else several peers in several domains, and takes
- * the highest. One peer alone may lag, and its word would take the instance back to what it had left.
+ * Start of an instance: it reads the platform or, if that is unavailable, queries several peers in
+ * several domains and takes the highest revision. A single peer may be stale, and its answer could take
+ * the instance back to a revision older than the one it served before the restart.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -9,22 +10,29 @@
 import type { SpreadContext, SpreadStart, SpreadState, SpreadStep } from './ManifestSpreadTypes.js';
 import { createStep, createToldEffect, drawQueryId, getRevisionOf } from './ManifestSpreadTypes.js';
 
-/** Asks the platform's root (by the caller) and several peers. */
+/** Starts a query to several peers; the caller reads the root from the platform. */
 export function beginStart(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
-  const askedPeers = selectStartPeers(state.plan, ctx.random);
+  const queriedPeers = selectStartPeers(state.plan, ctx.random);
   const endsAt = at + ctx.settings.startLimit;
   const revision = getRevisionOf(state.held);
   const ask = drawQueryId(ctx);
   return createStep(
     {
       ...state,
-      start: { ask, queriedPeers: askedPeers, answers: new Map(), isPlatformUnavailable: false, goal: null, endsAt },
+      start: {
+        ask,
+        queriedPeers,
+        answers: new Map(),
+        isPlatformUnavailable: false,
+        goal: null,
+        endsAt,
+      },
     },
-    askedPeers.map((to) => createToldEffect(to, revision, { ask })),
+    queriedPeers.map((to) => createToldEffect(to, revision, { ask })),
   );
 }
 
-/** Notes what a peer that was asked holds. */
+/** Records the revision that a queried peer holds. */
 export function receiveStartAnswer(
   state: SpreadState,
   peer: InstanceId,
@@ -39,9 +47,9 @@
 }
 
 /**
- * Decides on the highest answer when all peers have answered or the time is up, and ends the start when
- * that is held; an answer of the platform ends it earlier. Without any answer that names a revision, or
- * if the one decided on cannot be had, the asking begins anew.
+ * Chooses the highest revision among the answers once there are enough, and ends the start when that
+ * revision is held; a successful read from the platform ends it earlier. If no peer answers with a
+ * revision, or the chosen one cannot be fetched in time, the peers are queried again.
  */
 export function advanceStart(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const { start } = state;
@@ -51,13 +59,13 @@
   if (start.goal !== null && getRevisionOf(state.held) >= start.goal) {
     return createStep({ ...state, start: null });
   }
-  if (start.goal === null && isAnswered(start, at)) {
+  if (start.goal === null && hasEnoughAnswers(start, at)) {
     return decideGoal(ctx, state, start, at);
   }
   return at < start.endsAt ? createStep(state) : beginStart(ctx, state, at);
 }
 
-/** Notes that the platform did not answer, so that the peers' word has to do. */
+/** Records that the platform did not answer, so that the start can rely on the peers alone. */
 export function noteRootFailure(state: SpreadState): SpreadState {
   const { start } = state;
   return start && !start.isPlatformUnavailable
@@ -66,14 +74,15 @@
 }
 
 /**
- * Whether the peers' answers are enough. While the platform may still answer they are not: all peers that
- * are known may be of a domain that was cut off and lag together, and an instance that took their word
- * served an older revision than it had before its restart until the platform's answer came.
+ * Whether the peers' answers suffice to choose a revision: all have answered and the platform has
+ * failed, or the timeout has passed with at least one answer. Before the timeout, they do not suffice
+ * while the platform may still answer: all known peers may be in a partitioned domain and equally stale,
+ * and the instance would serve an older revision than before its restart until the platform answers.
  */
-function isAnswered(start: SpreadStart, at: Millis): boolean {
-  const { queriedPeers: askedPeers, answers, endsAt, isPlatformUnavailable: isPlatformOut } = start;
-  const isComplete = isPlatformOut && answers.size === askedPeers.length;
-  return answers.size > 0 && (isComplete || at >= endsAt);
+function hasEnoughAnswers(start: SpreadStart, at: Millis): boolean {
+  const { queriedPeers, answers, endsAt, isPlatformUnavailable } = start;
+  const hasAllAnswers = isPlatformUnavailable && answers.size === queriedPeers.length;
+  return answers.size > 0 && (hasAllAnswers || at >= endsAt);
 }
 
 function decideGoal(
@@ -83,7 +92,7 @@
   at: Millis,
 ): SpreadStep {
   const [best] = [...start.answers].sort((a, b) => b[1] - a[1]);
-  invariant(best, 'a start that is answered has an answer');
+  invariant(best, 'enough answers include at least one');
   const [peer, goal] = best;
   if (goal === 0) {
     return at < start.endsAt ? createStep(state) : beginStart(ctx, state, at);
--- a/packages/manifest/src/ManifestStore.ts
+++ b/packages/manifest/src/ManifestStore.ts
@@ -1,6 +1,7 @@
 /**
- * Submits manifests: checked whole, cut into chunks, and accepted by one swap of the root. Of racing
- * submissions exactly one wins; a submission's id makes it take effect once, however often it is sent.
+ * Submits manifests. A manifest is validated, split into chunks and accepted by one compare-and-swap of
+ * the root, so exactly one of several concurrent submissions wins. The submission id makes a submission
+ * idempotent: it takes effect at most once, however often it is sent.
  */
 import type { Millis, Result } from '@skylarksail/core/CoreTypes';
 import { createOk } from '@skylarksail/core/CoreTypes';
@@ -22,68 +23,68 @@
 import type { SlicedWork } from './ManifestSlices.js';
 import { runSynchronously, runInSlices } from './ManifestSlices.js';
 
-/** Pause before the root is read again because a chunk that it named was gone. */
+/** Delay before the root is read again because a chunk that it referenced no longer exists. */
 const REREAD_DELAY: Millis = 50;
 
-/** How a manifest is submitted. */
 export interface SubmitOptions {
-  /** Chosen by the submitter, a new one for each change; sending it again gives the first result. */
+  /** Idempotency key that the submitter chooses for each change; a repeat returns the first result. */
   readonly submissionId: string;
   /**
-   * Revision that the change was made from; 0 for the first. Null takes whatever is current when the
-   * submission starts, and so may overwrite a change that its author has not seen.
+   * Revision that the change is based on; 0 for the first manifest. Null accepts the revision that is
+   * current when the submission starts, and so may overwrite a change that its author has not seen.
    */
   readonly expectedRevision: number | null;
-  /** Time of the context's timers by which an answer is wanted. */
+  /** Deadline of the submission, as a time of the context's timers. */
   readonly deadline: Millis;
   /**
-   * Hears of this submission's acceptance with the chunks that it added. The instance that took it can
-   * tell its peers at once; else a change accepted just before an outage waits for the outage's end.
+   * Called when this submission is accepted, with the chunks that it added. The instance that handled it
+   * can notify its peers immediately; otherwise a change accepted just before an outage of the platform
+   * would reach them only after the outage.
    */
   readonly onAccepted?: (root: ManifestRoot, chunks: ReadonlyMap<ChunkRef, string>) => void;
 }
 
-/** What came of a submission. */
+/** Result of a submission. */
 export type SubmitOutcome =
   | {
       readonly kind: 'accepted';
       readonly revision: number;
-      /** True if an earlier sending of this submission was the one accepted. */
+      /** Whether the submission had already been accepted before this call. */
       readonly repeated: boolean;
       readonly writtenChunks: number;
       readonly writtenBytes: number;
     }
   | { readonly kind: 'invalid'; readonly faults: readonly ManifestFault[] }
-  /** Another change is in place of the expected one; `revision` and `submission` name it. */
+  /** The current revision is not the expected one; `revision` and `submission` identify it. */
   | { readonly kind: 'conflict'; readonly revision: number; readonly submission: string | null }
-  /** The id was accepted earlier, as `revision`, with another content. */
+  /** The submission id was accepted earlier, as `revision`, with different content. */
   | { readonly kind: 'id-reused'; readonly revision: number }
-  /** Not accepted, and it never will be: the root was not written. */
+  /** Not accepted, and it cannot be accepted later: the root was not written. */
   | { readonly kind: 'unavailable'; readonly fault: ReadFault }
-  /** The answer was lost; it may have been accepted, or may yet be. Send the same id again. */
+  /** The response was lost: it may have been accepted or may still be. Retry with the same id. */
   | { readonly kind: 'unknown' };
 
-/** The root that a submission starts from, with what it names. */
-interface Base {
+/** The root that a submission is based on, with its tree and newest history page. */
+interface SubmissionBase {
   readonly stored: StoredRoot;
   readonly tree: ManifestTree | null;
   readonly page: HistoryPage | null;
 }
 
-interface Attempt {
+interface PreparedSubmission {
   readonly ctx: StoreContext;
   readonly submission: SubmitOptions;
-  readonly base: Base;
+  readonly base: SubmissionBase;
   readonly split: SplitManifest;
 }
 
-/** Submits a manifest, trying until the deadline. */
+/** Submits a manifest, with retries until the deadline. */
 export async function submitManifest(
   ctx: StoreContext,
   input: unknown,
   submission: SubmitOptions,
 ): Promise<SubmitOutcome> {
-  const checked = await doWork(ctx, checkInSlices(input));
+  const checked = await runWork(ctx, checkInSlices(input));
   if (!checked.ok) {
     return { kind: 'invalid', faults: checked.error };
   }
@@ -92,7 +93,7 @@
     return { kind: 'unavailable', fault: base.error };
   }
   const { stored, tree } = base.value;
-  const split = await doWork(ctx, splitInSlices(checked.value, tree, stored.platformRevision));
+  const split = await runWork(ctx, splitInSlices(checked.value, tree, stored.platformRevision));
   const oversized = findOversizedParts(split);
   if (oversized.length > 0) {
     const faults = oversized.map((path) => ({ path, message: `over ${MAX_CHUNK_BYTES} bytes` }));
@@ -101,30 +102,36 @@
   return submitSplit({ ctx, submission, base: base.value, split });
 }
 
-function doWork<T>(ctx: StoreContext, work: SlicedWork<T>): Promise<T> | T {
+function runWork<T>(ctx: StoreContext, work: SlicedWork<T>): Promise<T> | T {
   return ctx.pause ? runInSlices(work, ctx.pause) : runSynchronously(work);
 }
 
-function getRevision({ stored }: Pick<Base, 'stored'>): number {
+function getRevision({ stored }: Pick<SubmissionBase, 'stored'>): number {
   return stored.root?.revision ?? 0;
 }
 
-async function submitSplit(attempt: Attempt): Promise<SubmitOutcome> {
-  const { submission, base } = attempt;
+async function submitSplit(prepared: PreparedSubmission): Promise<SubmitOutcome> {
+  const { submission, base } = prepared;
   const { root } = base.stored;
-  const earlier = await findEarlier(attempt, root, 0);
+  const earlier = await findEarlierAcceptance(prepared, root, 0);
   if (!earlier.ok) {
     return { kind: 'unavailable', fault: earlier.error };
   }
   if (earlier.value !== null) {
-    return describeEarlier(attempt, earlier.value);
+    return createResubmissionOutcome(prepared, earlier.value);
   }
   const expected = submission.expectedRevision ?? getRevision(base);
-  return getRevision(base) === expected ? writeRevision(attempt) : createConflict(root);
+  return getRevision(base) === expected ? writeRevision(prepared) : createConflict(root);
 }
 
-/** Reads root, indexes and history; a chunk that is gone means that the root was superseded meanwhile. */
-async function readBase(ctx: StoreContext, deadline: Millis): Promise<Result<Base, ReadFault>> {
+/**
+ * Reads the root, its index chunks and its newest history page. It starts again if a chunk no longer
+ * exists, because then the root was superseded in the meantime.
+ */
+async function readBase(
+  ctx: StoreContext,
+  deadline: Millis,
+): Promise<Result<SubmissionBase, ReadFault>> {
   for (;;) {
     const stored = await readRoot(ctx, deadline);
     if (!stored.ok) {
@@ -146,9 +153,9 @@
   }
 }
 
-/** Finds this submission among those accepted after revision `after`. */
-async function findEarlier(
-  { ctx, submission }: Attempt,
+/** Looks for this submission among those accepted after revision `after`. */
+async function findEarlierAcceptance(
+  { ctx, submission }: PreparedSubmission,
   root: ManifestRoot | null,
   after: number,
 ): Promise<Result<RevisionSummary | null, ReadFault>> {
@@ -165,8 +172,8 @@
   return walked.ok ? createOk(found) : walked;
 }
 
-function describeEarlier(
-  { split }: Attempt,
+function createResubmissionOutcome(
+  { split }: PreparedSubmission,
   { revision, content }: RevisionSummary,
 ): SubmitOutcome {
   return content === split.content
@@ -182,8 +189,8 @@
   };
 }
 
-async function writeRevision(attempt: Attempt): Promise<SubmitOutcome> {
-  const { ctx, submission, base, split } = attempt;
+async function writeRevision(prepared: PreparedSubmission): Promise<SubmitOutcome> {
+  const { ctx, submission, base, split } = prepared;
   const { root } = base.stored;
   const revision = getRevision(base) + 1;
   const page = JSON.stringify(
@@ -195,31 +202,31 @@
     }),
   );
   const history = createChunkRef(base.stored.platformRevision, page);
-  const written: readonly (readonly [ChunkRef, string])[] = [...split.added, [history, page]];
-  const results = await mapBounded(written, ([ref, text]) =>
+  const newChunks: readonly (readonly [ChunkRef, string])[] = [...split.added, [history, page]];
+  const results = await mapBounded(newChunks, ([ref, text]) =>
     writeChunk(ctx, submission.deadline, ref, text),
   );
   if (results.includes(false)) {
     return { kind: 'unavailable', fault: { kind: 'unavailable' } };
   }
-  const next: ManifestRoot = {
+  const newRoot: ManifestRoot = {
     format: 1,
     revision,
     submission: submission.submissionId,
     body: split.body,
     history,
   };
-  const outcome = await swapRoot(attempt, next);
+  const outcome = await swapRoot(prepared, newRoot);
   if (outcome.kind !== 'accepted') {
     return outcome;
   }
   if (outcome.revision === revision) {
-    submission.onAccepted?.(next, split.added);
+    submission.onAccepted?.(newRoot, split.added);
   }
-  return { ...outcome, ...countBytes(written) };
+  return { ...outcome, ...countWrites(newChunks) };
 }
 
-function countBytes(written: readonly (readonly [ChunkRef, string])[]): {
+function countWrites(written: readonly (readonly [ChunkRef, string])[]): {
   writtenChunks: number;
   writtenBytes: number;
 } {
@@ -228,19 +235,24 @@
 }
 
 /**
- * Swaps the root. A lost answer is settled by sending the very same swap again: reading back an
- * unchanged root would prove nothing while the first one may be on its way, but once the second has
- * won or lost, the first cannot land any more.
+ * Swaps the root. If a response is lost, the identical swap is sent again. Reading back an unchanged root
+ * would prove nothing, because the first swap may still be in flight; but once the second swap has
+ * succeeded or failed, the first can no longer take effect.
  */
-async function swapRoot(attempt: Attempt, next: ManifestRoot): Promise<SubmitOutcome> {
-  const { ctx, submission, base } = attempt;
+async function swapRoot(
+  prepared: PreparedSubmission,
+  newRoot: ManifestRoot,
+): Promise<SubmitOutcome> {
+  const { ctx, submission, base } = prepared;
   const { platformRevision } = base.stored;
-  const text = JSON.stringify(next);
-  const { outcome, mayHaveApplied: isUnsure } = await callWithRetry(ctx, submission.deadline, (options) =>
-    ctx.platform.swap(ROOT_KEY, platformRevision, text, options),
+  const text = JSON.stringify(newRoot);
+  const { outcome, mayHaveApplied: isUnsure } = await callWithRetry(
+    ctx,
+    submission.deadline,
+    (options) => ctx.platform.swap(ROOT_KEY, platformRevision, text, options),
   );
   if (outcome.kind === 'done') {
-    return createAccepted(next.revision);
+    return createAccepted(newRoot.revision);
   }
   if (outcome.kind === 'unknown') {
     return { kind: 'unknown' };
@@ -248,9 +260,9 @@
   if (outcome.reason.kind !== 'conflict') {
     return { kind: 'unavailable', fault: { kind: 'unavailable' } };
   }
-  const settled = await readWinner(attempt);
-  if (settled !== null) {
-    return settled;
+  const finalOutcome = await resolveRefusedSwap(prepared);
+  if (finalOutcome !== null) {
+    return finalOutcome;
   }
   return isUnsure ? { kind: 'unknown' } : { kind: 'unavailable', fault: { kind: 'unavailable' } };
 }
@@ -259,15 +271,18 @@
   return { kind: 'accepted', revision, repeated: false, writtenChunks: 0, writtenBytes: 0 };
 }
 
-/** After a lost swap: whether it was lost to an earlier sending of itself or to another. */
-async function readWinner(attempt: Attempt): Promise<SubmitOutcome | null> {
-  const { ctx, submission, base, split } = attempt;
+/**
+ * Determines, after the swap failed with a conflict, whether an earlier transmission of this submission
+ * or a different submission changed the root. Returns null if root or history cannot be read.
+ */
+async function resolveRefusedSwap(prepared: PreparedSubmission): Promise<SubmitOutcome | null> {
+  const { ctx, submission, base, split } = prepared;
   const stored = await readRoot(ctx, submission.deadline);
   if (!stored.ok) {
     return null;
   }
   const { root } = stored.value;
-  const found = await findEarlier(attempt, root, getRevision(base));
+  const found = await findEarlierAcceptance(prepared, root, getRevision(base));
   if (!found.ok) {
     return null;
   }
@@ -276,13 +291,14 @@
   }
   return found.value.content === split.content
     ? createAccepted(found.value.revision)
-    : describeEarlier(attempt, found.value);
+    : createResubmissionOutcome(prepared, found.value);
 }
 
 /**
- * Makes sure that a chunk is there. Whoever wrote it first wrote the same text; it will stay, as
- * nothing of this generation is collected before the root has moved, and then our swap has failed or
- * its body names the chunk. Gives false if the deadline came first.
+ * Ensures that a chunk exists. A conflict counts as success, since every writer of this name writes the
+ * same text. The chunk is not collected too early: its generation is collected only after the root has
+ * changed, and then this submission's swap has failed or its body references the chunk. Returns false
+ * if the chunk could not be written by the deadline.
  */
 async function writeChunk(
   ctx: StoreContext,
--- a/packages/manifest/src/ManifestView.ts
+++ b/packages/manifest/src/ManifestView.ts
@@ -1,6 +1,6 @@
 /**
- * A revision of the manifest as the rest of an instance reads it. Leaves of teams stay text until one
- * of their teams is asked for: at 47,000 teams the parsed form would not fit the memory of a node.
+ * Read access to one revision of the manifest for the rest of an instance. Leaves stay serialized until
+ * one of their teams is requested: with 47,000 teams the parsed form would not fit a node's memory.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { DomainId, ModelId, ServiceId, TeamId } from '@skylarksail/core/CoreTypes';
@@ -19,18 +19,18 @@
 import type { KeyTable } from './ManifestTeams.js';
 import { createKeyTable, findTeamByKey } from './ManifestTeams.js';
 
-/** Parsed leaves that are kept; the teams that call often are few. */
+/** Maximum number of cached parsed leaves. Few are enough, because few teams call often. */
 const MAX_PARSED_LEAVES = 128;
-const ANY = '*';
+const ANY_PLACE = '*';
 
-/** A whole manifest with its chunks. */
+/** A complete manifest with its chunks. */
 export interface HeldManifest {
   readonly root: ManifestRoot;
   readonly tree: ManifestTree;
   readonly chunks: ReadonlyMap<ChunkRef, string>;
 }
 
-/** One revision, unchanging. A request that runs keeps the view that it started with. */
+/** An immutable view of one revision. A running request keeps the view that it started with. */
 export interface ManifestView {
   readonly revision: number;
   readonly models: readonly ManifestModel[];
@@ -46,7 +46,7 @@
   getService(id: ServiceId): ManifestService | undefined;
   getDomain(id: DomainId): ManifestDomain | undefined;
   getAccelerator(id: string): ManifestAccelerator | undefined;
-  /** Link between two places, each named from the narrowest (rack) to the widest (region). */
+  /** Finds the link between two places; each lists its names from the rack up to the region. */
   findLink(from: readonly string[], to: readonly string[]): ManifestLink | undefined;
 }
 
@@ -56,15 +56,15 @@
   readonly keyTable: KeyTable;
 }
 
-/** Compiles a view, sharing with `previous` whatever did not change. */
+/** Creates a view that shares unchanged data with `previous`. */
 export function createManifestView(
   { root, tree, chunks }: HeldManifest,
   previous: ManifestView | null = null,
 ): ManifestView {
   const getChunk: GetChunk = (ref) => chunks.get(ref);
-  const shared = findShared(tree, previous as CompiledView | null);
-  const base = shared?.base ?? readBase(tree, getChunk);
-  const models = shared?.models ?? readModels(tree, getChunk);
+  const reusable = findReusableView(tree, previous as CompiledView | null);
+  const base = reusable?.base ?? readBase(tree, getChunk);
+  const models = reusable?.models ?? readModels(tree, getChunk);
   const readTeams = createLeafReader(getChunk);
   const keyTable = createKeyTable(
     tree.leaves,
@@ -78,7 +78,7 @@
 
   function getTeam(id: TeamId): ManifestTeam | undefined {
     const leaf = tree.leaves[getLeafNumber(id, tree.body.leafCount)];
-    invariant(leaf !== undefined, 'a tree has as many leaves as its body says');
+    invariant(leaf !== undefined, 'the number of leaves must match the leaf count of the body');
     return readTeams(leaf).find((team) => team.id === id);
   }
 
@@ -104,25 +104,25 @@
   return view;
 }
 
-/** The previous view, if nothing but teams has changed since. */
-function findShared(tree: ManifestTree, previous: CompiledView | null): CompiledView | null {
-  const isSame =
+/** Returns the previous view if only teams have changed since. */
+function findReusableView(tree: ManifestTree, previous: CompiledView | null): CompiledView | null {
+  const hasSameParts =
     previous?.tree.body.parts.length === tree.body.parts.length &&
     tree.body.parts.every(({ ref }, i) => previous.tree.body.parts[i]?.ref === ref);
-  return isSame ? previous : null;
+  return hasSameParts ? previous : null;
 }
 
 function indexById<T extends { readonly id: string }>(elements: readonly T[]): Map<string, T> {
   return new Map(elements.map((element) => [element.id, element]));
 }
 
-/** Parses leaves when first read and keeps the newest few. */
+/** Parses leaves on demand and caches the most recently parsed ones. */
 function createLeafReader(getChunk: GetChunk): (leaf: ChunkRef) => readonly ManifestTeam[] {
   const parsed = new Map<ChunkRef, readonly ManifestTeam[]>();
   return (leaf) => {
-    const known = parsed.get(leaf);
-    if (known) {
-      return known;
+    const cached = parsed.get(leaf);
+    if (cached) {
+      return cached;
     }
     const teams = readLeaf(leaf, getChunk);
     const [oldest] = parsed.keys();
@@ -139,10 +139,12 @@
   from: readonly string[],
   to: readonly string[],
 ): ManifestLink | undefined {
-  for (const a of [...from, ANY]) {
-    for (const b of [...to, ANY]) {
+  for (const fromName of [...from, ANY_PLACE]) {
+    for (const toName of [...to, ANY_PLACE]) {
       const found = links.find(
-        (link) => (link.from === a && link.to === b) || (link.from === b && link.to === a),
+        (link) =>
+          (link.from === fromName && link.to === toName) ||
+          (link.from === toName && link.to === fromName),
       );
       if (found) {
         return found;
--- a/packages/manifest/src/ManifestWatch.ts
+++ b/packages/manifest/src/ManifestWatch.ts
@@ -1,4 +1,4 @@
-/** What an instance reads of the root: by its watch, if it is a watcher, and by its poll. */
+/** Reads of the root by an instance: by its watch, if it is a watcher, and by its poll. */
 import { jitter } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { advanceTarget, choosePeerSource, learnRoot, receiveChunks } from './ManifestFetch.js';
@@ -18,7 +18,7 @@
 const POLL_JITTER = 0.5;
 const BACKOFF_JITTER = 0.5;
 
-/** Polls the root if it is time. The period grows with the fleet, so that the fleet's rate is flat. */
+/** Polls the root if the poll is due. */
 export function poll(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   if (at < state.pollAt) {
     return createStep(state);
@@ -27,13 +27,13 @@
   return createStep({ ...state, pollAt }, [{ type: 'read-root' }]);
 }
 
-/** Period of the poll of one instance. */
+/** Poll period of one instance. It grows with the fleet, so that the fleet's poll rate is constant. */
 export function getPollPeriod(ctx: SpreadContext, state: SpreadState): Millis {
   const { minPollPeriod, pollPeriodPerInstance } = ctx.settings;
   return Math.max(minPollPeriod, pollPeriodPerInstance * (state.plan.others.length + 1));
 }
 
-/** Lets a watch wait, if this instance is a watcher and none is waiting. */
+/** Starts a watch of the root if this instance is a watcher, none is pending and the backoff is over. */
 export function ensureWatch(state: SpreadState, at: Millis): SpreadStep {
   const { watch, plan } = state;
   if (!plan.isWatcher || watch.isWaiting || at < watch.retryAt) {
@@ -44,7 +44,7 @@
   ]);
 }
 
-/** Takes a reading of the root, which also ends the start of an instance. */
+/** Handles the result of reading the root; a successful read also ends the start of the instance. */
 export function receiveRoot(
   ctx: SpreadContext,
   state: SpreadState,
@@ -58,14 +58,18 @@
     const next = state.platformSeen === null ? pollSoon(ctx, failed, at) : failed;
     return advanceStart(ctx, next, at);
   }
-  const seen = noteReading(watched, reading.root, at);
-  const source = chooseSource(ctx, state, via, reading.root);
+  const seen = recordReading(watched, reading.root, at);
+  const source = chooseChunkSource(ctx, state, via, reading.root);
   const learned = reading.root ? learnRoot(ctx, seen, reading.root, source, at) : createStep(seen);
   return continueStep(learned, (next) => ensureWatch(next, at));
 }
 
-/** A revision that came by the watch is news: few read it from the platform, and the others from them. */
-function chooseSource(
+/**
+ * Chooses where to fetch the chunks of a root. A root that the watch returns to an instance with a held
+ * revision is new to the fleet: its readers fetch it from the platform at once, and the other watchers
+ * wait for them to announce it. Any other root is fetched from a peer first.
+ */
+function chooseChunkSource(
   ctx: SpreadContext,
   state: SpreadState,
   via: 'watch' | 'poll',
@@ -77,18 +81,18 @@
   return getReaderRank(state.plan, root.revision) === 0 ? { kind: 'platform' } : { kind: 'none' };
 }
 
-/** An instance that has never heard the platform does not wait for its ordinary poll. */
+/** Moves up the next poll of an instance that has had no answer from the platform yet. */
 function pollSoon(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadState {
   const soon = at + jitter(ctx.random, ctx.settings.minPollPeriod, POLL_JITTER);
   return { ...state, pollAt: Math.min(state.pollAt, soon) };
 }
 
-function noteReading(state: SpreadState, root: ManifestRoot | null, at: Millis): SpreadState {
+function recordReading(state: SpreadState, root: ManifestRoot | null, at: Millis): SpreadState {
   const revision = root?.revision ?? 0;
   const { held } = state;
   const isOlder = revision < Math.max(state.platformSeen ?? 0, getRevisionOf(held));
-  const isOther = held?.root.revision === revision && held.root.body !== root?.body;
-  const olderRoots = state.counts.olderRoots + (isOlder || isOther ? 1 : 0);
+  const isDifferentRoot = held?.root.revision === revision && held.root.body !== root?.body;
+  const olderRoots = state.counts.olderRoots + (isOlder || isDifferentRoot ? 1 : 0);
   return {
     ...state,
     counts: { ...state.counts, olderRoots },
@@ -108,9 +112,9 @@
   const { minBackoff, maxBackoff } = ctx.settings;
   if (reading.kind === 'read') {
     const { platformRevision } = reading;
-    // A service that answers watches at once although nothing changed must not be asked in a loop.
-    const isNews = platformRevision !== watch.platformRevision;
-    const retryAt = isNews ? at : at + jitter(ctx.random, minBackoff, BACKOFF_JITTER);
+    // Delays the next watch if the service answered without a change, to avoid a busy loop.
+    const hasChanged = platformRevision !== watch.platformRevision;
+    const retryAt = hasChanged ? at : at + jitter(ctx.random, minBackoff, BACKOFF_JITTER);
     const next = { isWaiting: false, retryAt, backoff: minBackoff, platformRevision };
     return { ...state, watch: next };
   }
@@ -119,7 +123,7 @@
   return { ...state, watch: { ...watch, isWaiting: false, retryAt, backoff } };
 }
 
-/** Takes a root that was accepted through this instance, with the chunks that came with it. */
+/** Handles a root accepted through this instance, with the chunks of its submission. */
 export function receiveAccepted(
   ctx: SpreadContext,
   state: SpreadState,
@@ -127,7 +131,7 @@
   chunks: ReadonlyMap<ChunkRef, string>,
   at: Millis,
 ): SpreadStep {
-  const seen = noteReading(state, root, at);
+  const seen = recordReading(state, root, at);
   const learned = learnRoot(ctx, seen, root, { kind: 'none' }, at);
   return continueStep(learned, (next) => advanceTarget(ctx, receiveChunks(next, chunks), at));
 }
--- a/packages/manifest/src/__tests__/ManifestBed.ts
+++ b/packages/manifest/src/__tests__/ManifestBed.ts
@@ -1,4 +1,4 @@
-/** A fleet with a fake platform and submitters, over virtual time, for tests of the whole way. */
+/** Test bed for end-to-end tests: a fleet, submitters and a fake platform in virtual time. */
 import { expect } from 'chai';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { VirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -19,11 +19,11 @@
   readonly timers: VirtualTimers;
   readonly platform: FakeStore;
   readonly fleet: FakeFleet;
-  /** Revisions in the order in which each instance, over all its processes, put them into force. */
+  /** Revisions that each instance put into force, in order, across restarts of its process. */
   readonly applied: Map<InstanceId, number[]>;
   connect(client: string): StoreContext;
   pass(time: Millis): Promise<void>;
-  /** Lets time pass until the work is surely done. */
+  /** Advances virtual time far enough for the work to complete, and awaits it. */
   run<T>(work: Promise<T>): Promise<T>;
   submit(
     client: string,
@@ -31,12 +31,12 @@
     expectedRevision: number | null,
     teamCount: number,
   ): Promise<SubmitOutcome>;
-  /** Submits without a race; `teamCount` tells the revision by its content. */
+  /** Submits a manifest and expects it to be accepted; `teamCount` distinguishes the revisions. */
   accept(teamCount: number): Promise<void>;
   getRevisions(): readonly (number | null)[];
 }
 
-/** Creates a bed of `domains` domains with `perDomain` instances; none runs yet. */
+/** Creates a test bed of `domains` domains with `perDomain` instances each; none is started. */
 export function createBed(seed = 5, domains = 2, perDomain = 3): Bed {
   const timers = createVirtualTimers();
   const random = createRandom(seed);
@@ -84,7 +84,7 @@
   };
 }
 
-/** Fails if any instance ever put a lower revision into force after a higher one. */
+/** Fails if any instance put a lower revision into force after a higher one. */
 export function expectNoRevert(bed: Bed): void {
   bed.applied.forEach((revisions, id) => {
     expect(revisions, id).to.deep.equal([...revisions].sort((a, b) => a - b));
--- a/packages/manifest/src/__tests__/ManifestFixtures.ts
+++ b/packages/manifest/src/__tests__/ManifestFixtures.ts
@@ -1,14 +1,14 @@
-/** Manifests of any size for tests. */
+/** Creates manifests with any number of teams for tests. */
 import { createHash } from 'node:crypto';
 import { checkManifest } from '../ManifestCheck.js';
 import type { Manifest } from '../ManifestSchema.js';
 
-/** Bearer key of a team of `createManifest`. */
+/** Returns the bearer key of a team that `createManifest` creates. */
 export function getTestKey(team: number): string {
   return `test-key-${team}`;
 }
 
-/** A whole manifest with so many teams, in order of their ids. */
+/** Creates a complete manifest with `teamCount` teams, sorted by id. */
 export function createManifest(teamCount: number): Manifest {
   const checked = checkManifest({
     schema: 1,
--- a/packages/manifest/src/__tests__/unit/ManifestDiff.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestDiff.test.ts
@@ -5,7 +5,7 @@
 import { createManifest } from '../ManifestFixtures.js';
 
 describe('ManifestDiff', () => {
-  it('names what was added, removed and changed by path', () => {
+  it('lists added, removed and changed values by path', () => {
     const before = createManifest(2);
     const after = {
       ...before,
@@ -19,7 +19,7 @@
     expect(lines[2]).to.match(/^- teams\[team-000001\]/);
   });
 
-  it('compares two accepted revisions by the chunks that differ', async () => {
+  it('compares two accepted revisions by reading only the chunks that differ', async () => {
     const bed = createBed();
     await bed.accept(2000);
     await bed.accept(2001);
--- a/packages/manifest/src/__tests__/unit/ManifestGarbage.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestGarbage.test.ts
@@ -18,33 +18,33 @@
   return report.value.removed;
 }
 
-/** Starts a submission that stops before it writes the root, until `release` is called. */
-function submitSlowly(
+/** Starts a submission that pauses before it swaps the root, until `release` is called. */
+function submitWithDelayedSwap(
   bed: Bed,
   teamCount: number,
 ): { readonly outcome: Promise<SubmitOutcome>; release(): void } {
   const ctx = bed.connect('slow');
   let release = (): void => undefined;
-  const gate = new Promise<void>((resolve) => {
+  const released = new Promise<void>((resolve) => {
     release = resolve;
   });
-  const paused: StoreContext = {
+  const delayed: StoreContext = {
     ...ctx,
     platform: {
       ...ctx.platform,
       async swap(key, expected, value, options) {
         if (key === ROOT_KEY) {
-          await gate;
+          await released;
         }
         return ctx.platform.swap(key, expected, value, options);
       },
     },
   };
   const options = { submissionId: 'slow', expectedRevision: null, deadline: Infinity };
-  return { outcome: submitManifest(paused, createManifest(teamCount), options), release };
+  return { outcome: submitManifest(delayed, createManifest(teamCount), options), release };
 }
 
-async function expectWhole(bed: Bed): Promise<void> {
+async function expectLoadable(bed: Bed): Promise<void> {
   const ctx = bed.connect('reader');
   const stored = await bed.run(readRoot(ctx, Infinity));
   const root = (stored.ok && stored.value.root) || { body: '' };
@@ -53,25 +53,25 @@
 }
 
 describe('ManifestGarbage', () => {
-  it('leaves the chunks of a slow submitter that may still be accepted', async () => {
-    // Symptom: the manifest in force names chunks that are not there. Sequence: a submitter writes its
-    // chunks and pauses, a collector sees that no root names them and removes them, the submitter
-    // wakes and its swap wins. Cause: age, or one look at the root, taken for proof.
+  it('keeps the chunks of a slow submission that may still be accepted', async () => {
+    // Guards against a manifest in force that references missing chunks. It happens if a submitter
+    // writes its chunks and pauses, a collector removes them because no root references them, and then
+    // the submitter's swap succeeds. Neither a chunk's age nor one read of the root proves it is garbage.
     const bed = createBed();
     await bed.accept(3);
-    const slow = submitSlowly(bed, 9);
+    const slow = submitWithDelayedSwap(bed, 9);
     await bed.pass(1000);
     expect(await collect(bed)).to.equal(0);
     slow.release();
     await bed.pass(1000);
     expect(await slow.outcome).to.include({ kind: 'accepted', revision: 2 });
-    await expectWhole(bed);
+    await expectLoadable(bed);
   });
 
-  it('removes the chunks of a submitter that lost, and only those', async () => {
+  it('removes the chunks of a submission that lost to another one, and no others', async () => {
     const bed = createBed();
     await bed.accept(3);
-    const slow = submitSlowly(bed, 9);
+    const slow = submitWithDelayedSwap(bed, 9);
     await bed.pass(1000);
     await bed.accept(5);
     const garbage = await collect(bed);
@@ -79,14 +79,14 @@
     slow.release();
     await bed.pass(1000);
     expect((await slow.outcome).kind).to.equal('conflict');
-    await expectWhole(bed);
+    await expectLoadable(bed);
     expect(await collect(bed)).to.equal(0);
   });
 
-  it('does not remove what a submission with an older content writes anew', async () => {
-    // Symptom: as above, after a change is taken back. Sequence: the chunks of an old revision are
-    // being collected, a removal is late; a submission with the same content is accepted; the removal
-    // lands. Cause: a name, or a revision of a key, that is used a second time.
+  it('keeps chunks that a submission with the content of an old revision writes again', async () => {
+    // Guards against missing chunks after a change is reverted. They can occur if the removal of an old
+    // revision's chunks is delayed, a submission with the same content is accepted, and then the removal
+    // takes effect. This requires that a chunk name, or a revision of a key, is used twice.
     const bed = createBed();
     await bed.accept(3);
     for (let i = 0; i < RETAINED_REVISIONS + 2; i++) {
@@ -104,10 +104,10 @@
     await bed.pass(30_000);
     const report = await round;
     expect(report.ok && report.value.garbage).to.be.above(0);
-    await expectWhole(bed);
+    await expectLoadable(bed);
   });
 
-  it('still reads the history and starts an instance after many revisions', async () => {
+  it('keeps the history readable and lets instances start after many revisions', async () => {
     const bed = createBed();
     for (let i = 0; i < 40; i++) {
       await bed.accept(2 + i);
--- a/packages/manifest/src/__tests__/unit/ManifestSamples.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSamples.test.ts
@@ -9,14 +9,14 @@
 }
 
 describe('ManifestSamples', () => {
-  it('publishes the JSON Schema that manifests are checked by', () => {
-    // Run packages/manifest/bin/write-schema.mjs if this fails.
+  it('publishes the JSON Schema that matches the validation of manifests', () => {
+    // If this fails, regenerate the file with packages/manifest/bin/write-schema.mjs.
     const published: unknown = JSON.parse(readRepositoryFile('schema/manifest.schema.json'));
     expect(published).to.deep.equal(JSON.parse(JSON.stringify(createManifestJsonSchema())));
   });
 
   ['tt-north', 'pnw'].forEach((firm) => {
-    it(`accepts the sample of ${firm}, with the keys that its page gives`, () => {
+    it(`accepts the sample manifest of ${firm} with the keys listed in the README`, () => {
       const checked = checkManifest(JSON.parse(readRepositoryFile(`manifests/${firm}.json`)));
       if (!checked.ok) {
         expect.fail(JSON.stringify(checked.error));
--- a/packages/manifest/src/__tests__/unit/ManifestSlices.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSlices.test.ts
@@ -5,9 +5,9 @@
 import { createManifest } from '../ManifestFixtures.js';
 
 describe('ManifestSlices', () => {
-  it('lets other work run between slices and comes to the same result', async () => {
-    // Symptom: every stream of an instance stands still for a second. Sequence: a manifest of 47,000
-    // teams is submitted through it. Cause: checking and cutting it in one go on the only loop.
+  it('pauses between slices and returns the same result as an uninterrupted run', async () => {
+    // Guards against stalling all streams of an instance for a second. This happens if the instance
+    // validates and splits a submitted manifest of 47,000 teams without returning to the event loop.
     const manifest = createManifest(4 * SLICE_LENGTH);
     let pauses = 0;
     const pause = (): Promise<void> => {
@@ -22,7 +22,7 @@
     expect(pauses).to.be.at.least(12);
   });
 
-  it('names faults of teams by their place in the whole', () => {
+  it('reports faults of teams by their index in the manifest', () => {
     const manifest = createManifest(3);
     const teams = manifest.teams.map((team, i) => (i === 2 ? { ...team, share: -1 } : team));
     const checked = checkManifest({ ...manifest, teams });
--- a/packages/manifest/src/__tests__/unit/ManifestSpec.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSpec.test.ts
@@ -1,7 +1,7 @@
 /**
- * Replays the steps of packages/proof/specs/manifest-*.pml against the core, so that specification and
- * code cannot drift apart: each change of the core's state must be a step of the specification, and
- * each step must be seen.
+ * Checks the code against the specifications packages/proof/specs/manifest-*.pml, so that they cannot
+ * diverge: each state change of the state machine must be a step of the specification, and each step
+ * must occur.
  */
 import { expect } from 'chai';
 import { readFileSync } from 'node:fs';
@@ -24,7 +24,7 @@
   { id: 'i2', domain: 'd1' },
 ];
 const MAX_REVISION = 3;
-/** The specification knows no time: an instance waits for its keeper, and a start for all answers. */
+/** The specification has no timeouts: an instance waits for its keeper, and a start for all answers. */
 const SETTINGS = { ...DEFAULT_SPREAD_SETTINGS, holdLimit: Infinity, startLimit: Infinity };
 
 function readSteps(spec: string): string[] {
@@ -44,21 +44,21 @@
   return { roots, chunks };
 }
 
-/** Walks at random through the specification's steps with three real machines. */
+/** Runs three real state machines through random steps and adds the steps that occur to `seen`. */
 function walkSpread(random: Random, length: number, seen: Set<string>): void {
   const { roots, chunks } = createRoots();
   const ctx = { settings: SETTINGS, random };
   const highest = MEMBERS.map(() => 0);
   let states: SpreadState[] = MEMBERS.map((self) => createSpread(self, MEMBERS));
   let root = 0;
-  let isUp = true;
+  let isPlatformUp = true;
   let at = 0;
   let isLinked = (_from: number, _to: number): boolean => true;
 
   const held = (i: number): number => getRevisionOf((states[i] as SpreadState).held);
   const hasStarted = (i: number): boolean => states[i]?.start === null;
 
-  /** Steps one machine and then, in order, all that follows from it. */
+  /** Delivers an event to one machine and then, in order, all events that result from its effects. */
   function deliver(first: number, firstEvent: SpreadEvent): void {
     const queue = [{ to: first, event: firstEvent }];
     for (let next = queue.shift(); next; next = queue.shift()) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Events that follow from an effect of machine `i`. */
+  /** Returns the events that result from an effect of machine `i`. */
   function runEffect(i: number, effect: SpreadEffect): { to: number; event: SpreadEvent }[] {
     if (effect.type === 'send') {
       const to = MEMBERS.findIndex(({ id }) => id === effect.to);
@@ -78,7 +78,7 @@
       return isLinked(i, to) ? [{ to, event }] : [];
     }
     if (effect.type === 'read-chunks') {
-      const refs = isUp ? effect.refs : [];
+      const refs = isPlatformUp ? effect.refs : [];
       const read = new Map(refs.map((ref) => [ref, chunks.get(ref) as string]));
       return [{ to: i, event: { type: 'chunks-read', at, body: effect.body, chunks: read } }];
     }
@@ -105,7 +105,7 @@
     );
     seen.add('restart');
     isLinked = () => true;
-    if (isUp && random.nextInt(2) === 0) {
+    if (isPlatformUp && random.nextInt(2) === 0) {
       isLinked = () => false;
       deliver(i, { type: 'started', at });
       isLinked = () => true;
@@ -114,32 +114,34 @@
     } else {
       const best = Math.max(...states.map((_, j) => (j === i ? 0 : held(j))));
       deliver(i, { type: 'started', at });
-      // The peers' word is taken once the platform is known not to answer.
+      // The peers' answers suffice only once a read from the platform has failed.
       deliver(i, { type: 'root-read', at, via: 'poll', reading: { kind: 'failed' } });
       expect(held(i)).to.be.at.least(best);
-      // Without any revision at the peers the machine asks on, where the specification starts empty.
+      // If no peer holds a revision, the machine keeps querying; the specification starts with none.
       seen.add(best > 0 ? 'start-peers' : 'restart');
     }
   }
 
-  function explainChanges(before: readonly SpreadState[]): void {
+  function matchChangesToSteps(before: readonly SpreadState[]): void {
     states.forEach((state, i) => {
-      const was = before[i] as SpreadState;
+      const previous = before[i] as SpreadState;
       const others = states.filter((other, j) => j !== i && other.start === null);
       const isHeldElsewhere = others.some(
         (other) => getRevisionOf(other.held) >= getRevisionOf(state.held),
       );
-      if (getRevisionOf(state.held) > getRevisionOf(was.held)) {
-        const isFromPlatform = isUp && getRevisionOf(state.held) <= root;
-        expect(isHeldElsewhere || isFromPlatform, 'held without a step').to.equal(true);
+      if (getRevisionOf(state.held) > getRevisionOf(previous.held)) {
+        const isFromPlatform = isPlatformUp && getRevisionOf(state.held) <= root;
+        expect(isHeldElsewhere || isFromPlatform, 'held without a matching step').to.equal(true);
         seen.add(isFromPlatform && !isHeldElsewhere ? 'learn-platform' : 'learn-peer');
       }
-      if (state.isKept && !was.isKept) {
-        expect(isHeldElsewhere, 'kept by nobody').to.equal(true);
+      if (state.isKept && !previous.isKept) {
+        expect(isHeldElsewhere, 'marked as kept although no other instance holds it').to.equal(
+          true,
+        );
         seen.add('hear-keeper');
       }
-      if (getRevisionOf(state.inForce) > getRevisionOf(was.inForce)) {
-        expect(state.isKept, 'in force without a keeper').to.equal(true);
+      if (getRevisionOf(state.inForce) > getRevisionOf(previous.inForce)) {
+        expect(state.isKept, 'in force without a keeper that holds it').to.equal(true);
         seen.add('put-in-force');
       }
     });
@@ -156,26 +158,26 @@
     isLinked = (from, to) => linked[from]?.[to] === true;
     const before = states;
     const choice = random.nextInt(10);
-    if (choice === 0 && isUp && root < MAX_REVISION) {
+    if (choice === 0 && isPlatformUp && root < MAX_REVISION) {
       root += 1;
       seen.add('accept');
     } else if (choice === 1) {
-      isUp = !isUp;
+      isPlatformUp = !isPlatformUp;
       seen.add('outage');
     } else if (choice === 2 && states.every((_, i) => hasStarted(i))) {
       restart(acting);
-    } else if (choice < 6 && isUp) {
+    } else if (choice < 6 && isPlatformUp) {
       readPlatform(acting);
-      explainChanges(before);
+      matchChangesToSteps(before);
     } else {
       deliver(acting, { type: 'tick', at });
-      explainChanges(before);
+      matchChangesToSteps(before);
     }
   }
 }
 
 describe('ManifestSpec', () => {
-  it('makes only steps of the spread that the specification has, and all of them', () => {
+  it('makes exactly the steps that the specification of the distribution has', () => {
     const seen = new Set<string>();
     for (let seed = 1; seed <= 150; seed++) {
       walkSpread(createRandom(seed), 80, seen);
@@ -183,7 +185,7 @@
     expect([...seen].sort()).to.deep.equal(readSteps('manifest-spread'));
   });
 
-  it('keeps what the specification of acceptance asserts, through lost and late writes', async () => {
+  it('satisfies the assertions of the specification of acceptance despite lost and late writes', async () => {
     const outcomes = new Set<string>();
     for (let seed = 1; seed <= 60; seed++) {
       const bed = createBed(seed);
--- a/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
@@ -6,7 +6,7 @@
 import { createManifest, getTestKey } from '../ManifestFixtures.js';
 
 describe('ManifestSpread', () => {
-  it('brings a revision into force everywhere within a second, and finds teams by key', async () => {
+  it('puts a revision into force on all instances within a second and finds teams by key', async () => {
     const bed = createBed(1, 3, 5);
     bed.fleet.startAll();
     await bed.pass(3000);
@@ -19,7 +19,7 @@
     expect(view?.getTeam('team-000039')?.models).to.deep.equal(['notes']);
   });
 
-  it('keeps the view of a running request while new ones take the new revision', async () => {
+  it('keeps the old view of a running request usable while new requests use the new revision', async () => {
     const bed = createBed(2);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -32,9 +32,9 @@
     expect(bed.fleet.getView('d0-0')?.getTeamByKey(getTestKey(2))).to.equal(undefined);
   });
 
-  it('learns from peers when it starts in an outage, and says so', async () => {
-    // Symptom: an instance that was replaced in an outage serves nothing, or an old revision.
-    // Sequence: the platform goes, an instance restarts. Cause: the platform as the only source.
+  it('takes the revision from peers when it starts during an outage, and reports that source', async () => {
+    // Guards against an instance that restarts during an outage of the platform and serves no revision
+    // or an old one, because the platform is its only source.
     const bed = createBed(3);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -55,10 +55,10 @@
     expectNoRevert(bed);
   });
 
-  it('takes the highest of several peers when most of them lag in a cut-off domain', async () => {
-    // Symptom: an instance goes back to an older manifest. Sequence: one domain is cut off, the
-    // others move on, the domain is joined while the platform is out, an instance restarts and asks
-    // one of the instances that still lag. Cause: trust in a single peer.
+  it('takes the highest revision of several peers when most are stale in a partitioned domain', async () => {
+    // Guards against an instance going back to an older manifest because it trusts a single peer: a
+    // domain is partitioned while the others advance and is reconnected during an outage of the platform;
+    // then an instance restarts and queries one that is still stale.
     for (let seed = 1; seed <= 10; seed++) {
       const bed = createBed(seed, 2, 4);
       bed.fleet.startAll();
@@ -80,10 +80,10 @@
     }
   });
 
-  it('does not serve a revision that it alone has read until a peer holds it', async () => {
-    // Symptom: an instance serves revision 2, restarts, and serves revision 1. Sequence: it reads 2
-    // from the platform and dies before anyone else has heard of it; the platform goes; it starts.
-    // Cause: putting into force what only this process holds.
+  it('does not serve a revision that it alone has read until a peer holds it too', async () => {
+    // Guards against an instance that serves revision 2 and, after a restart, revision 1: it alone reads
+    // revision 2 and puts it into force, fails before any peer receives it, and restarts during an outage
+    // of the platform.
     const bed = createBed(4, 2, 3);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -106,7 +106,7 @@
     expectNoRevert(bed);
   });
 
-  it('gets through when watches miss changes and a fifth of the messages is lost', async () => {
+  it('reaches all instances although watches miss changes and a fifth of the messages are lost', async () => {
     const bed = createBed(6, 3, 4);
     bed.platform.setFaults({ missedWatches: 1, repeatedWatches: 0.2 });
     bed.fleet.startAll();
@@ -122,10 +122,10 @@
     expectNoRevert(bed);
   });
 
-  it('keeps to what it has when the service is restored from an older backup', async () => {
-    // Symptom: every instance goes back at once. Sequence: the service is restored from a backup and
-    // gives an older root, or another one of the same revision. Cause: trust in whatever is newest
-    // at the platform. What to do is in the operators' page; `olderRoots` shows it.
+  it('keeps the revision in force when the service is restored from an older backup', async () => {
+    // Guards against all instances going back at once because they trust the platform's current root:
+    // after a restore from a backup it returns an older root, or a different one of the same revision.
+    // `olderRoots` counts such reads; the operators' page says what to do.
     const bed = createBed(7);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -140,10 +140,10 @@
     expectNoRevert(bed);
   });
 
-  it('spreads what it took itself when the platform goes right after the acceptance', async () => {
-    // Symptom: a change is reported as accepted and is in force nowhere until an outage ends.
-    // Sequence: the swap of the root is answered, the platform goes before any watcher has read the
-    // chunks. Cause: the instance that took the submission had them and told nobody.
+  it('distributes an accepted submission although the platform fails right after the acceptance', async () => {
+    // Guards against a change that is reported as accepted but is in force nowhere until an outage ends:
+    // the platform answers the swap of the root and fails before any watcher has read the chunks, and
+    // the instance that handled the submission does not pass them on.
     const bed = createBed(10, 3, 3);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -164,7 +164,7 @@
     expectNoRevert(bed);
   });
 
-  it('drops garbage from a peer and counts it', async () => {
+  it('drops and counts invalid messages and chunks from a peer', async () => {
     const bed = createBed(8);
     bed.fleet.startAll();
     await bed.accept(3);
@@ -185,7 +185,7 @@
     expect(bed.fleet.getRevision('d0-0')).to.equal(1);
   });
 
-  it('names the instances that have not confirmed, domain by domain', async () => {
+  it('lists by domain how many instances have confirmed a revision', async () => {
     const bed = createBed(9, 3, 3);
     bed.fleet.startAll();
     await bed.accept(3);
