--- a/packages/manifest/src/__tests__/unit/ManifestStore.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestStore.test.ts
@@ -8,13 +8,13 @@
 import { createBed, DEADLINE } from '../ManifestBed.js';
 import { createManifest } from '../ManifestFixtures.js';
 
-async function getCurrent(bed: Bed): Promise<{ revision: number; submission: string }> {
+async function readCurrentRoot(bed: Bed): Promise<{ revision: number; submission: string }> {
   const stored = await bed.run(readRoot(bed.connect('reader'), Infinity));
   return stored.ok && stored.value.root ? stored.value.root : { revision: 0, submission: '' };
 }
 
 describe('ManifestStore', () => {
-  it('gives back what was submitted', async () => {
+  it('loads the manifest that was submitted', async () => {
     const bed = createBed();
     const accepted = await bed.run(bed.submit('a', 'first', 0, 300));
     expect(accepted).to.include({ kind: 'accepted', revision: 1, repeated: false });
@@ -29,38 +29,38 @@
     expect(joinManifest(tree, (ref) => fetched.get(ref))).to.deep.equal(createManifest(300));
   });
 
-  it('lets exactly one of racing submissions win and names it to the others', async () => {
-    // Symptom: a change that its author saw accepted is gone. Sequence: several submitters read one
-    // root and write at the same time. Cause: an acceptance that was not one compare-and-swap.
+  it('accepts exactly one of several concurrent submissions and reports it to the others', async () => {
+    // Guards against the loss of an accepted change. It happens if several submitters read the same root
+    // and write concurrently, and acceptance is not a single compare-and-swap.
     const bed = createBed();
     await bed.run(bed.submit('a', 'first', 0, 10));
     const racers = ['r1', 'r2', 'r3', 'r4'].map((id, i) => bed.submit(id, id, 1, 20 + i));
     const outcomes = await bed.run(Promise.all(racers));
     const winners = outcomes.filter(({ kind }) => kind === 'accepted');
     expect(winners).to.have.length(1);
-    const { submission } = await getCurrent(bed);
+    const { submission } = await readCurrentRoot(bed);
     outcomes
       .filter(({ kind }) => kind !== 'accepted')
       .forEach((lost) => expect(lost).to.deep.equal({ kind: 'conflict', revision: 2, submission }));
   });
 
-  it('gives the same submission its first result, also after later ones', async () => {
+  it('returns the first result for a repeated submission, even after later ones', async () => {
     const bed = createBed();
     await bed.run(bed.submit('a', 'first', 0, 10));
     await bed.run(bed.submit('a', 'second', 1, 11));
     const again = await bed.run(bed.submit('b', 'first', 0, 10));
     expect(again).to.include({ kind: 'accepted', revision: 1, repeated: true });
-    const unpinned = await bed.run(bed.submit('b', 'first', null, 10));
-    expect(unpinned).to.include({ kind: 'accepted', revision: 1, repeated: true });
+    const withoutExpectedRevision = await bed.run(bed.submit('b', 'first', null, 10));
+    expect(withoutExpectedRevision).to.include({ kind: 'accepted', revision: 1, repeated: true });
     const other = await bed.run(bed.submit('b', 'first', 0, 12));
     expect(other).to.deep.equal({ kind: 'id-reused', revision: 1 });
-    expect((await getCurrent(bed)).revision).to.equal(2);
+    expect((await readCurrentRoot(bed)).revision).to.equal(2);
   });
 
-  it('finds its own win after the answer to the swap was lost', async () => {
-    // Symptom: the pipeline is told of a conflict with itself, or the change is made twice.
-    // Sequence: the swap takes effect, its answer is lost, the submitter tries again.
-    // Cause: taking the second try's refusal for somebody else's win.
+  it('detects that its own swap succeeded after the response was lost', async () => {
+    // Guards against reporting a conflict of a submission with itself, or applying a change twice. It
+    // happens if the swap takes effect, its response is lost, and the conflict of the retry is attributed
+    // to another submission.
     const bed = createBed();
     bed.platform.setFaults({ lostAnswers: 0.4 }, 'a');
     const outcome = await bed.run(bed.submit('a', 'first', 0, 10));
@@ -72,10 +72,10 @@
     expect(history.ok && history.value).to.have.length(1);
   });
 
-  it('does not take an unchanged root for proof while its lost swap is on the way', async () => {
-    // Symptom: "not accepted" is reported, and seconds later the change is in force after all.
-    // Sequence: the swap is delayed beyond its timeout; the root read back is unchanged; the swap
-    // lands. Cause: a look at the root says nothing about writes that have not arrived.
+  it('reports unknown, not failure, while a timed-out swap may still take effect', async () => {
+    // Guards against reporting "not accepted" for a change that is in force seconds later. It happens if
+    // the swap is delayed beyond its timeout, the root is read back unchanged, and then the swap takes
+    // effect. Reading the root says nothing about writes that are still in flight.
     const bed = createBed();
     await bed.run(bed.submit('a', 'first', 0, 10));
     const { platform } = bed;
@@ -99,22 +99,22 @@
     });
     await bed.timers.advanceToAsync(bed.timers.now() + 1.5 * DEADLINE);
     expect(await outcome).to.deep.equal({ kind: 'unknown' });
-    expect((await getCurrent(bed)).submission).to.equal('first');
-    expect((await getCurrent(bed)).submission).to.equal('late');
+    expect((await readCurrentRoot(bed)).submission).to.equal('first');
+    expect((await readCurrentRoot(bed)).submission).to.equal('late');
     const again = await bed.run(bed.submit('b', 'late', 1, 11));
     expect(again).to.include({ kind: 'accepted', revision: 2, repeated: true });
   });
 
-  it('says unavailable, and takes no effect, when an outage comes before the root is written', async () => {
+  it('reports unavailable and changes nothing if an outage precedes the write of the root', async () => {
     const bed = createBed();
     bed.platform.setFaults({ outage: true });
     const outcome = await bed.run(bed.submit('a', 'first', null, 10));
     expect(outcome).to.deep.equal({ kind: 'unavailable', fault: { kind: 'unavailable' } });
     bed.platform.setFaults({ outage: false });
-    expect((await getCurrent(bed)).revision).to.equal(0);
+    expect((await readCurrentRoot(bed)).revision).to.equal(0);
   });
 
-  it('refuses the whole of a manifest with one fault', async () => {
+  it('rejects an invalid manifest as a whole and writes nothing', async () => {
     const bed = createBed();
     const manifest = createManifest(3);
     const teams = manifest.teams.map((team) => ({ ...team, models: ['no-such-model'] }));
@@ -125,7 +125,7 @@
     expect(bed.platform.countCalls().writes).to.equal(0);
   });
 
-  it('writes only the delta of a change of one team', async () => {
+  it('writes only the changed chunks when one team is added', async () => {
     const bed = createBed();
     await bed.run(bed.submit('a', 'first', 0, 2000));
     const before = bed.platform.countCalls().bytesWritten;
--- a/packages/membership/src/MembershipApply.ts
+++ b/packages/membership/src/MembershipApply.ts
@@ -1,4 +1,7 @@
-/** Takes in what others claim of members: newer claims stand, claims against ourselves are refuted. */
+/**
+ * Merges records into the state: newer records win, and claims that contradict this instance's own
+ * are refuted.
+ */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { MembershipEffect, MembershipStep, MemberChangeName } from './MembershipEffects.js';
@@ -8,7 +11,9 @@
 import type { MembershipState, QueuedUpdate, Suspicion } from './MembershipState.js';
 import { getRetransmitLimit, getSuspicionTime } from './MembershipState.js';
 
-/** What is changed while a batch of records is taken in; it becomes the next state at the end. */
+/**
+ * Working copies while a batch of records is merged; `finishBatch` turns them into the next state.
+ */
 interface Batch {
   readonly state: MembershipState;
   readonly now: Millis;
@@ -17,51 +22,56 @@
   readonly queued: Map<InstanceId, QueuedUpdate>;
   readonly effects: MembershipEffect[];
   readonly changed: Set<InstanceId>;
-  /** How often the changes of this batch count as passed on already. */
-  readonly firstSends: number;
+  /** Initial `sends` of the updates that this batch queues. */
+  readonly initialSends: number;
 }
 
 /**
- * Claims that come as many at once are those of a whole view: others get them the same way, so they are
- * passed on less. Otherwise a fleet that starts together would chatter about it for many minutes.
+ * More changed records than this in one message belong to a sync. Other members receive them by
+ * sync too, so these updates are sent fewer times. Otherwise a fleet whose instances start together
+ * would gossip about the starts for many minutes.
  */
-const BULK_COUNT = 12;
+const BULK_THRESHOLD = 12;
+/** Share of the retransmit limit that counts as already sent for such updates. */
 const BULK_SENDS_SHARE = 0.7;
-/** A view as large as this is not passed on at all. */
-const WHOLE_VIEW_COUNT = 64;
+/** If more records than this changed, none of them is queued. */
+const FULL_VIEW_THRESHOLD = 64;
 
-/** Takes in claims made by others. */
+/** Merges records received from other instances. */
 export function applyRecords(
   state: MembershipState,
   records: readonly MemberRecord[],
   now: Millis,
 ): MembershipStep {
-  const fresh = records.filter((record) => isOfInterest(state, record));
-  const counted = countRepeats(
+  const relevant = records.filter((record) => needsProcessing(state, record));
+  const counted = countDuplicates(
     state,
-    records.filter((record) => !fresh.includes(record)),
+    records.filter((record) => !relevant.includes(record)),
   );
-  if (fresh.length === 0) {
+  if (relevant.length === 0) {
     return createStep(counted);
   }
-  const batch = createBatch(counted, now, getFirstSends(state, fresh.length));
-  fresh.forEach((record) => applyClaim(batch, record));
+  const batch = createBatch(counted, now, getInitialSends(state, relevant.length));
+  relevant.forEach((record) => applyClaim(batch, record));
   return finishBatch(batch);
 }
 
-function getFirstSends(state: MembershipState, count: number): number {
-  if (count <= BULK_COUNT) {
+function getInitialSends(state: MembershipState, count: number): number {
+  if (count <= BULK_THRESHOLD) {
     return 0;
   }
   const limit = getRetransmitLimit(state);
-  return count > WHOLE_VIEW_COUNT ? limit : Math.ceil(BULK_SENDS_SHARE * limit);
+  return count > FULL_VIEW_THRESHOLD ? limit : Math.ceil(BULK_SENDS_SHARE * limit);
 }
 
-/** After so many times of hearing a change again we stop passing it on. */
-const REPEATS = 5;
+/** A queued update that is received again this many times is no longer sent. */
+const MAX_DUPLICATES = 5;
 
-/** A change that comes to us once more is known to others already, and is passed on much less. */
-function countRepeats(state: MembershipState, records: readonly MemberRecord[]): MembershipState {
+/** Raises `sends` of queued updates that were received again: other instances have them already. */
+function countDuplicates(
+  state: MembershipState,
+  records: readonly MemberRecord[],
+): MembershipState {
   if (state.updates.length === 0 || records.length === 0) {
     return state;
   }
@@ -69,13 +79,13 @@
   const limit = getRetransmitLimit(state);
   const updates = state.updates
     .map((update) =>
-      ids.has(update.id) ? { ...update, sends: update.sends + limit / REPEATS } : update,
+      ids.has(update.id) ? { ...update, sends: update.sends + limit / MAX_DUPLICATES } : update,
     )
     .filter(({ sends }) => sends < limit);
   return { ...state, updates };
 }
 
-/** Takes in what we found ourselves: a suspicion that began, or that ran out. */
+/** Applies what this instance detected itself: the start of a suspicion, or its timeout. */
 export function applyLocalRecord(
   state: MembershipState,
   record: MemberRecord,
@@ -86,7 +96,10 @@
   return finishBatch(batch);
 }
 
-/** Changes what we say of ourselves; the incarnation rises so that the new word stands. */
+/**
+ * Changes this instance's own record and raises its incarnation, so that the new record wins
+ * everywhere.
+ */
 export function updateSelf(
   state: MembershipState,
   change: Partial<Pick<MemberRecord, 'phase' | 'health'>>,
@@ -94,13 +107,13 @@
   aboveIncarnation = state.self.incarnation,
 ): MembershipStep {
   const batch = createBatch(state, now);
-  raiseSelf(batch, aboveIncarnation, change);
+  raiseIncarnation(batch, aboveIncarnation, change);
   return finishBatch(batch);
 }
 
-function isOfInterest(state: MembershipState, record: MemberRecord): boolean {
+function needsProcessing(state: MembershipState, record: MemberRecord): boolean {
   if (record.id === state.self.id) {
-    return isAgainstSelf(state.self, record);
+    return contradictsSelf(state.self, record);
   }
   const known = state.members.get(record.id);
   return (
@@ -112,37 +125,42 @@
 
 function applyClaim(batch: Batch, record: MemberRecord): void {
   if (record.id === batch.state.self.id) {
-    if (isAgainstSelf(getSelf(batch), record)) {
-      raiseSelf(batch, record.incarnation, {});
+    if (contradictsSelf(getSelf(batch), record)) {
+      raiseIncarnation(batch, record.incarnation, {});
     }
     return;
   }
   const known = batch.members.get(record.id)?.record;
   if (!known) {
-    addUnknown(batch, record);
+    addUnknownMember(batch, record);
     return;
   }
   if (isNewerRecord(record, known)) {
-    const weighed = weighDeath(batch, record, known);
-    if (weighed) {
-      setRecord(batch, weighed);
+    const accepted = checkDeathClaim(batch, record, known);
+    if (accepted) {
+      setRecord(batch, accepted);
     }
     return;
   }
   if (isDead(known) && isNewerRecord(known, record)) {
-    // Somebody still spreads an old record of a dead member. Without our word the two claims would
-    // stand beside each other, and the dead member would live on in part of the fleet.
+    // A peer still gossips an older record of a dead member. Unless the death is sent again, the
+    // two records would coexist and part of the fleet would keep the dead member as present.
     queueUpdate(batch, record.id);
   }
 }
 
 /**
- * Hearsay of a death in our own domain does not end a member that we hold to be present, unless we too
- * have suspected it for a while. Two halves of a domain that meet again after a partition each bring the
- * other's death lists; taken at their word, both halves would lose all their members until each had
- * objected. Null: the claim changes nothing.
+ * Returns the record to apply for a claim, or null if it is ignored. A reported death in this
+ * instance's domain removes a present member only if this instance has itself suspected the member
+ * for half of the timeout; otherwise the claim at most starts a suspicion. When two halves of a
+ * domain merge after a partition, each sends the other half's members as dead. Without this check
+ * both halves would lose all their members until each had refuted.
  */
-function weighDeath(batch: Batch, record: MemberRecord, known: MemberRecord): MemberRecord | null {
+function checkDeathClaim(
+  batch: Batch,
+  record: MemberRecord,
+  known: MemberRecord,
+): MemberRecord | null {
   if (record.health !== Health.Dead || record.domain !== batch.state.self.domain || isDead(known)) {
     return record;
   }
@@ -154,18 +172,22 @@
   return batch.now >= halfTime ? record : null;
 }
 
-function addUnknown(batch: Batch, record: MemberRecord): void {
+function addUnknownMember(batch: Batch, record: MemberRecord): void {
   if (isPresent(record)) {
     setRecord(batch, record);
     return;
   }
-  // A dead member that we never knew is remembered without a word to anybody.
+  // The tombstone of a member that was never known is stored, but neither disseminated nor reported
+  // to listeners.
   batch.members.set(record.id, createMember(record, batch.now));
   batch.changed.add(record.id);
 }
 
-/** A claim that we have to answer: of another start of ours, of our death, or from our own future. */
-function isAgainstSelf(self: MemberRecord, record: MemberRecord): boolean {
+/**
+ * Whether a record contradicts this instance's own record and must be refuted: it has a higher
+ * incarnation, or at the same incarnation another boot id, health or phase.
+ */
+function contradictsSelf(self: MemberRecord, record: MemberRecord): boolean {
   if (record.incarnation !== self.incarnation) {
     return record.incarnation > self.incarnation;
   }
@@ -177,7 +199,7 @@
   );
 }
 
-function raiseSelf(
+function raiseIncarnation(
   batch: Batch,
   aboveIncarnation: number,
   change: Partial<Pick<MemberRecord, 'phase' | 'health'>>,
@@ -188,7 +210,7 @@
   batch.members.set(record.id, createMember(record, batch.now));
   batch.changed.add(record.id);
   queueUpdate(batch, record.id);
-  tellChange(batch, self, record);
+  emitChange(batch, self, record);
 }
 
 function getSelf(batch: Batch): MemberRecord {
@@ -201,10 +223,10 @@
   batch.changed.add(record.id);
   queueUpdate(batch, record.id);
   setSuspicion(batch, record);
-  tellChange(batch, known, record);
+  emitChange(batch, known, record);
 }
 
-function tellChange(batch: Batch, before: MemberRecord | undefined, after: MemberRecord): void {
+function emitChange(batch: Batch, before: MemberRecord | undefined, after: MemberRecord): void {
   const kind = getChangeKind(before, after);
   if (kind) {
     const { id, domain } = after;
@@ -212,7 +234,10 @@
   }
 }
 
-/** Only our own domain's suspects are timed here; other domains judge their own members. */
+/**
+ * Starts or clears a suspicion. Only suspects of this instance's domain time out here, since each
+ * domain detects the failures of its own members.
+ */
 function setSuspicion(batch: Batch, record: MemberRecord): void {
   if (record.health !== Health.Suspect) {
     batch.suspicions.delete(record.id);
@@ -225,10 +250,10 @@
 }
 
 function queueUpdate(batch: Batch, id: InstanceId): void {
-  if (batch.firstSends >= getRetransmitLimit(batch.state)) {
+  if (batch.initialSends >= getRetransmitLimit(batch.state)) {
     return;
   }
-  batch.queued.set(id, { id, sends: batch.firstSends });
+  batch.queued.set(id, { id, sends: batch.initialSends });
 }
 
 function getChangeKind(
@@ -256,7 +281,7 @@
   return null;
 }
 
-function createBatch(state: MembershipState, now: Millis, firstSends = 0): Batch {
+function createBatch(state: MembershipState, now: Millis, initialSends = 0): Batch {
   return {
     state,
     now,
@@ -265,7 +290,7 @@
     queued: new Map(state.updates.map((update) => [update.id, update])),
     effects: [],
     changed: new Set(),
-    firstSends,
+    initialSends,
   };
 }
 
--- a/packages/membership/src/MembershipCache.ts
+++ b/packages/membership/src/MembershipCache.ts
@@ -1,20 +1,26 @@
 /**
- * What the engines' prefix caches probably hold. The owner of an engine follows its cache events and
- * spreads its most used prefixes as short hashes; events come late and with gaps, so all of it is an
- * expectation that fades with age and is put right by what answers show.
+ * Estimates what the engines' prefix caches hold. The owner of an engine follows its cache events and
+ * gossips its most used prefixes as short hashes. Events arrive late and with gaps, so the result is a
+ * probability that decays with age and is corrected by the cache hits and misses that answers report.
  */
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { GossipTableConfig } from './MembershipGossipTable.js';
-import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
+import {
+  createGossipTable,
+  getTableEntry,
+  mergeDigest,
+  recordLocalValue,
+  collectDigest,
+} from './MembershipGossipTable.js';
 import type { GossipTopic } from './MembershipTopics.js';
 import { TopicNumber } from './MembershipTopics.js';
 
-/** An engine's word that its cache gained or lost a prefix. Numbers rise by one without gaps. */
+/** An engine's report that its cache gained or lost a prefix. Its numbers increase by one without gaps. */
 export interface CacheEvent {
   readonly number: number;
   readonly kind: 'stored' | 'removed' | 'cleared';
-  /** Hash of the prompt prefix; empty if all was cleared. */
+  /** Hash of the prompt prefix; empty if the whole cache was cleared. */
   readonly prefix: string;
 }
 
@@ -23,28 +29,28 @@
   readonly usedAt: Millis;
 }
 
-/** What the owner of an engine knows of its cache. */
+/** The cache contents of an engine as its owner knows them from events. */
 export interface CacheSketch {
   readonly lastNumber: number;
-  /** 0 to 1: halved by each gap, and won back by events that follow each other. */
+  /** From 0 to 1: halved by each gap in the event numbers, raised by each event in sequence. */
   readonly confidence: number;
   readonly prefixes: ReadonlyMap<number, CachedPrefix>;
 }
 
-const PREFIX_LIMIT = 2 ** 16;
-const SPREAD_PREFIXES = 8;
+const PREFIX_HASH_LIMIT = 2 ** 16;
+const PUBLISHED_PREFIXES = 8;
 const MAX_PREFIXES = 512;
-const GAP_FACTOR = 0.5;
-const GAIN = 0.05;
+const CONFIDENCE_GAP_FACTOR = 0.5;
+const CONFIDENCE_GAIN = 0.05;
 const CONFIDENCE_STEPS = 255;
-/** Age at which an expectation is worth half. */
+/** Age at which an estimated probability has decayed to half. */
 const HALF_LIFE: Millis = 90_000;
-/** Weight of one answer in what we think of an engine's digests. */
+/** Weight of one answer in the moving average of how accurate an engine's digests are. */
 const SAMPLE_WEIGHT = 0.1;
-/** Prefixes seen in answers that an instance remembers. */
+/** Number of engine and prefix pairs for which an instance keeps the last hit or miss. */
 const MAX_SAMPLES = 4096;
 
-/** How often an owner spreads the sketch of each of its engines. */
+/** Period at which an owner publishes the sketch of each of its engines. */
 export const CACHE_PUBLISH_PERIOD: Millis = 90_000;
 export const CACHE_BYTES_PER_SECOND = 150;
 const CACHE_BYTES_PER_MESSAGE = 120;
@@ -61,13 +67,15 @@
   return { lastNumber: 0, confidence: 1, prefixes: new Map() };
 }
 
-/** Takes in one event. A repeated or older one changes nothing; a gap costs confidence. */
+/** Applies one event. A repeated or older event changes nothing; a gap lowers the confidence. */
 export function applyCacheEvent(sketch: CacheSketch, event: CacheEvent, now: Millis): CacheSketch {
   if (event.number <= sketch.lastNumber) {
     return sketch;
   }
   const isGap = sketch.lastNumber > 0 && event.number > sketch.lastNumber + 1;
-  const confidence = isGap ? sketch.confidence * GAP_FACTOR : Math.min(1, sketch.confidence + GAIN);
+  const confidence = isGap
+    ? sketch.confidence * CONFIDENCE_GAP_FACTOR
+    : Math.min(1, sketch.confidence + CONFIDENCE_GAIN);
   if (event.kind === 'cleared') {
     return { lastNumber: event.number, confidence: 1, prefixes: new Map() };
   }
@@ -78,19 +86,19 @@
   } else {
     prefixes.set(key, { uses: (prefixes.get(key)?.uses ?? 0) + 1, usedAt: now });
   }
-  return { lastNumber: event.number, confidence, prefixes: limitPrefixes(prefixes) };
+  return { lastNumber: event.number, confidence, prefixes: evictPrefixes(prefixes) };
 }
 
-/** The sketch in at most 17 bytes, one character each: confidence and the most used prefixes. */
+/** Encodes a sketch in at most 17 bytes, one character each: confidence and the most used prefixes. */
 export function encodeSketch(sketch: CacheSketch): string {
   const keys = [...sketch.prefixes]
     .sort(([, a], [, b]) => b.uses - a.uses || b.usedAt - a.usedAt)
-    .slice(0, SPREAD_PREFIXES)
+    .slice(0, PUBLISHED_PREFIXES)
     .map(([key]) => String.fromCharCode(Math.floor(key / 256), key % 256));
   return String.fromCharCode(Math.round(sketch.confidence * CONFIDENCE_STEPS)) + keys.join('');
 }
 
-/** The confidence with which an encoded sketch says that it has a prefix; 0 if it does not. */
+/** Returns the confidence of an encoded sketch if it contains the prefix, otherwise 0. */
 export function getSketchConfidence(text: string, prefix: string): number {
   const key = hashPrefix(prefix);
   for (let at = 1; at + 1 < text.length; at += 2) {
@@ -101,18 +109,18 @@
   return 0;
 }
 
-/** Cache knowledge that rides on membership. */
+/** Estimated cache contents, exchanged in gossip messages. */
 export interface CacheGossip {
   readonly topic: GossipTopic;
-  /** An event of an engine that we own. */
+  /** Applies a cache event of an engine that this instance owns. */
   recordEvent(engine: EngineId, event: CacheEvent, now: Millis): void;
-  /** Puts our sketch of an engine into the next digests; once every CACHE_SPREAD_PERIOD. */
+  /** Adds the sketch of an owned engine to the next digests; to be called once per publish period. */
   publishSketch(engine: EngineId, now: Millis): void;
-  /** We no longer own the engine. */
+  /** Discards the sketch of an engine that this instance no longer owns. */
   dropSketch(engine: EngineId): void;
-  /** What an answer showed of the prefix that it was asked with. */
+  /** Records whether an answer reported its request's prefix as cached. */
   recordSample(engine: EngineId, prefix: string, wasCached: boolean, now: Millis): void;
-  /** Chance, 0 to 1, that the engine holds the prefix. An expectation, never a fact. */
+  /** Estimates the probability, 0 to 1, that the engine has the prefix in its cache. */
   getHitProbability(engine: EngineId, prefix: string, now: Millis): number;
 }
 
@@ -121,32 +129,35 @@
   readonly seenAt: Millis;
 }
 
-/** Creates what one instance knows of caches, with its topic, to be registered with membership. */
+/** Creates the cache estimates of one instance, with the topic to register with membership. */
 export function createCacheGossip(): CacheGossip {
   const table = createGossipTable(CACHE_TABLE_CONFIG);
   const sketches = new Map<EngineId, CacheSketch>();
   const samples = new Map<string, Sample>();
-  /** How often the digests of an engine were right, as answers showed. */
-  const trust = new Map<EngineId, number>();
+  /** Moving average, per engine, of how often a prefix in its digest was cached according to answers. */
+  const digestAccuracy = new Map<EngineId, number>();
 
-  function getDigestChance(engine: EngineId, prefix: string, now: Millis): number {
+  function getDigestProbability(engine: EngineId, prefix: string, now: Millis): number {
     const entry = getTableEntry(table, engine);
-    return entry ? getSketchConfidence(entry.value, prefix) * fade(now - entry.seenAt) : 0;
+    return entry ? getSketchConfidence(entry.value, prefix) * getAgeWeight(now - entry.seenAt) : 0;
   }
 
-  function getChance(engine: EngineId, prefix: string, now: Millis): number {
-    const sample = samples.get(nameSample(engine, prefix));
+  function estimateProbability(engine: EngineId, prefix: string, now: Millis): number {
+    const sample = samples.get(getSampleKey(engine, prefix));
     const digestAt = getTableEntry(table, engine)?.seenAt ?? -Infinity;
     if (sample && (sample.wasCached || sample.seenAt >= digestAt)) {
-      // A miss stands until a later digest; a hit is the better word as long as it is not old.
-      const own = sample.wasCached ? fade(now - sample.seenAt) : 0;
-      return sample.seenAt >= digestAt ? own : Math.max(own, getTrusted(engine, prefix, now));
+      // A miss counts until a newer digest arrives. A hit decays with age; if a newer digest exists, the
+      // higher of the two probabilities counts.
+      const sampleProbability = sample.wasCached ? getAgeWeight(now - sample.seenAt) : 0;
+      return sample.seenAt >= digestAt
+        ? sampleProbability
+        : Math.max(sampleProbability, getWeightedDigestProbability(engine, prefix, now));
     }
-    return getTrusted(engine, prefix, now);
+    return getWeightedDigestProbability(engine, prefix, now);
   }
 
-  function getTrusted(engine: EngineId, prefix: string, now: Millis): number {
-    return getDigestChance(engine, prefix, now) * (trust.get(engine) ?? 1);
+  function getWeightedDigestProbability(engine: EngineId, prefix: string, now: Millis): number {
+    return getDigestProbability(engine, prefix, now) * (digestAccuracy.get(engine) ?? 1);
   }
 
   return {
@@ -155,7 +166,7 @@
       bytesPerSecond: CACHE_BYTES_PER_SECOND,
       bytesPerMessage: CACHE_BYTES_PER_MESSAGE,
       crossesDomains: false,
-      collect: (room, to, now) => collectDigest(table, room, to, now),
+      collect: (maxBytes, to, now) => collectDigest(table, maxBytes, to, now),
       merge: (bytes, from, now) => mergeDigest(table, bytes, from, now),
     },
     recordEvent(engine, event, now) {
@@ -174,32 +185,32 @@
       sketches.delete(engine);
     },
     recordSample(engine, prefix, wasCached, now) {
-      if (getDigestChance(engine, prefix, now) > 0) {
-        const before = trust.get(engine) ?? 1;
-        trust.set(engine, before + SAMPLE_WEIGHT * (Number(wasCached) - before));
+      if (getDigestProbability(engine, prefix, now) > 0) {
+        const accuracy = digestAccuracy.get(engine) ?? 1;
+        digestAccuracy.set(engine, accuracy + SAMPLE_WEIGHT * (Number(wasCached) - accuracy));
       }
-      const name = nameSample(engine, prefix);
-      samples.delete(name);
-      samples.set(name, { wasCached, seenAt: now });
-      dropOldest(samples, MAX_SAMPLES);
+      const sampleKey = getSampleKey(engine, prefix);
+      samples.delete(sampleKey);
+      samples.set(sampleKey, { wasCached, seenAt: now });
+      evictOldest(samples, MAX_SAMPLES);
     },
-    getHitProbability: getChance,
+    getHitProbability: estimateProbability,
   };
 }
 
 function hashPrefix(prefix: string): number {
-  return hash32(prefix) % PREFIX_LIMIT;
+  return hash32(prefix) % PREFIX_HASH_LIMIT;
 }
 
-function nameSample(engine: EngineId, prefix: string): string {
+function getSampleKey(engine: EngineId, prefix: string): string {
   return `${engine}\u0000${prefix}`;
 }
 
-function fade(age: Millis): number {
+function getAgeWeight(age: Millis): number {
   return 2 ** (-Math.max(0, age) / HALF_LIFE);
 }
 
-function limitPrefixes(prefixes: Map<number, CachedPrefix>): ReadonlyMap<number, CachedPrefix> {
+function evictPrefixes(prefixes: Map<number, CachedPrefix>): ReadonlyMap<number, CachedPrefix> {
   if (prefixes.size <= MAX_PREFIXES) {
     return prefixes;
   }
@@ -207,12 +218,12 @@
   return new Map(kept.slice(0, MAX_PREFIXES / 2));
 }
 
-/** A Map gives its keys in the order in which they were set. */
-function dropOldest(samples: Map<string, Sample>, limit: number): void {
-  for (const name of samples.keys()) {
+/** Relies on a Map iterating over its keys in insertion order. */
+function evictOldest(samples: Map<string, Sample>, limit: number): void {
+  for (const sampleKey of samples.keys()) {
     if (samples.size <= limit) {
       return;
     }
-    samples.delete(name);
+    samples.delete(sampleKey);
   }
 }
--- a/packages/membership/src/MembershipCalls.ts
+++ b/packages/membership/src/MembershipCalls.ts
@@ -1,6 +1,7 @@
 /**
- * Calls and notices between instances, with typed payloads: a call has one reply or a failure within its
- * time, a notice has none. A reply that comes late, twice or from somebody else is dropped and counted.
+ * Calls and notices between instances, with typed payloads: a call gets one reply or fails within its
+ * timeout, a notice gets no reply. A reply that is late, repeated or from another instance is dropped and
+ * counted.
  */
 import { randomUUID } from 'node:crypto';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -11,22 +12,22 @@
 import { EnvelopeKind, encodeEnvelope } from './MembershipEnvelope.js';
 import { readArray, readText, readUnsignedInteger } from './MembershipWire.js';
 
-declare const payloads: unique symbol;
+declare const payloadTypes: unique symbol;
 
-/** What a call is about, with the types of its question and its reply. */
-export interface CallTopic<Question, Reply> {
+/** A kind of call, with the types of its request and its reply. */
+export interface CallTopic<Request, Reply> {
   readonly name: string;
-  readonly [payloads]?: { readonly question: Question; readonly reply: Reply };
+  readonly [payloadTypes]?: { readonly question: Request; readonly reply: Reply };
 }
 
-/** What a notice is about, with the type of its payload. */
+/** A kind of notice, with the type of its payload. */
 export interface NoticeTopic<Payload> {
   readonly name: string;
-  readonly [payloads]?: Payload;
+  readonly [payloadTypes]?: Payload;
 }
 
-/** Names a kind of call; a constant of the package that answers it. */
-export function createCallTopic<Question, Reply>(name: string): CallTopic<Question, Reply> {
+/** Names a kind of call; the package that handles it defines it as a constant. */
+export function createCallTopic<Request, Reply>(name: string): CallTopic<Request, Reply> {
   return { name };
 }
 
@@ -36,8 +37,9 @@
 }
 
 /**
- * Why a call has no reply. `unsent`: nothing left us. `busy`: too many calls to that instance are under
- * way, nothing left us. `timeout`: the other side may have acted. `failed`: it says that it could not.
+ * Why a call has no reply. `unsent`: the request could not be sent. `busy`: too many calls to that
+ * instance are in flight, so the request was not sent. `timeout`: no reply arrived in time, but the
+ * other instance may have acted on the request. `failed`: the other instance replied with an error.
  */
 export type CallFailure =
   | { readonly kind: 'unsent' }
@@ -48,11 +50,11 @@
 export interface PeerCallsDeps {
   readonly self: InstanceId;
   readonly timers: TimerService;
-  /** Sends an envelope; false if there is no way to the instance, and then nothing was sent. */
+  /** Sends an envelope; returns false, with nothing sent, if the instance is not reachable. */
   readonly send: (to: InstanceId, bytes: Uint8Array) => boolean;
-  /** Calls under way to one instance at the most. */
+  /** Maximum number of calls in flight to one instance. */
   readonly maxInFlight?: number;
-  /** Distinguishes this process from one that had the same id before; drawn if not given. */
+  /** Distinguishes this process from an earlier one with the same id; random if not given. */
   readonly session?: string;
 }
 
@@ -63,28 +65,28 @@
 }
 
 export interface PeerCalls {
-  call<Question, Reply>(
+  call<Request, Reply>(
     to: InstanceId,
-    topic: CallTopic<Question, Reply>,
-    question: Question,
+    topic: CallTopic<Request, Reply>,
+    request: Request,
     timeout: Millis,
   ): Promise<Result<Reply, CallFailure>>;
   notify<Payload>(to: InstanceId, topic: NoticeTopic<Payload>, payload: Payload): boolean;
-  /** Answers calls of a topic. Payloads come from the network: check their shape. */
-  registerHandler<Question, Reply>(
-    topic: CallTopic<Question, Reply>,
-    handler: (question: Question, from: InstanceId) => Promise<Reply> | Reply,
+  /** Handles calls of a topic. Payloads come from the network, so handlers must validate them. */
+  registerHandler<Request, Reply>(
+    topic: CallTopic<Request, Reply>,
+    handler: (request: Request, from: InstanceId) => Promise<Reply> | Reply,
   ): Unregister;
   registerNotice<Payload>(
     topic: NoticeTopic<Payload>,
     listener: (payload: Payload, from: InstanceId) => void,
   ): Unregister;
-  /** Takes in an envelope of kind Call, Reply or Notice; garbage is counted and dropped. */
+  /** Processes an envelope of kind Call, Reply or Notice; an invalid one is counted and dropped. */
   receive(envelope: PeerEnvelope): void;
   getCounters(): PeerCallCounters;
 }
 
-type Handler = (question: unknown, from: InstanceId) => unknown;
+type Handler = (request: unknown, from: InstanceId) => unknown;
 
 interface PendingCall {
   readonly to: InstanceId;
@@ -92,16 +94,17 @@
 }
 
 const DEFAULT_MAX_IN_FLIGHT = 256;
-const MAX_DETAIL = 200;
+const MAX_DETAIL_LENGTH = 200;
 
-/** Creates calls and notices over a carrier of envelopes. */
+/** Creates calls and notices on top of a function that sends envelopes. */
 export function createPeerCalls(deps: PeerCallsDeps): PeerCalls {
   const { self, timers } = deps;
   const maxInFlight = deps.maxInFlight ?? DEFAULT_MAX_IN_FLIGHT;
-  // A number alone would fit a reply that was meant for this address's earlier process.
+  // Call ids start at 1 in each process, so an id alone could match a reply to an earlier process at this
+  // address.
   const session = deps.session ?? randomUUID().slice(0, 8);
   const handlers = new Map<string, Handler>();
-  const notices = new Map<string, Handler>();
+  const noticeListeners = new Map<string, Handler>();
   const pending = new Map<number, PendingCall>();
   const inFlight = new Map<InstanceId, number>();
   let nextId = 1;
@@ -118,11 +121,11 @@
   function call(
     to: InstanceId,
     topic: { readonly name: string },
-    question: unknown,
+    request: unknown,
     timeout: Millis,
   ): Promise<Result<unknown, CallFailure>> {
-    const open = inFlight.get(to) ?? 0;
-    if (open >= maxInFlight) {
+    const openCalls = inFlight.get(to) ?? 0;
+    if (openCalls >= maxInFlight) {
       return Promise.resolve(createFailed({ kind: 'busy' }));
     }
     const id = nextId;
@@ -137,42 +140,43 @@
         releaseSlot(to);
         resolve(result);
       }
-      inFlight.set(to, open + 1);
+      inFlight.set(to, openCalls + 1);
       pending.set(id, { to, settle });
-      if (!send(to, EnvelopeKind.Call, [session, id, topic.name, question])) {
+      if (!send(to, EnvelopeKind.Call, [session, id, topic.name, request])) {
         settle(createFailed({ kind: 'unsent' }));
       }
     });
   }
 
   function releaseSlot(to: InstanceId): void {
-    const left = (inFlight.get(to) ?? 1) - 1;
-    if (left > 0) {
-      inFlight.set(to, left);
+    const remaining = (inFlight.get(to) ?? 1) - 1;
+    if (remaining > 0) {
+      inFlight.set(to, remaining);
     } else {
       inFlight.delete(to);
     }
   }
 
-  async function answerCall(from: InstanceId, fields: readonly unknown[]): Promise<void> {
-    const asker = readText(fields[0]);
+  async function handleCall(from: InstanceId, fields: readonly unknown[]): Promise<void> {
+    const callerSession = readText(fields[0]);
     const id = readUnsignedInteger(fields[1]);
     const handler = handlers.get(readText(fields[2]));
     if (!handler) {
       count('unhandled');
-      send(from, EnvelopeKind.Reply, [asker, id, false, 'no such topic']);
+      send(from, EnvelopeKind.Reply, [callerSession, id, false, 'no such topic']);
       return;
     }
     try {
       const reply = await handler(fields[3], from);
-      send(from, EnvelopeKind.Reply, [asker, id, true, reply]);
+      send(from, EnvelopeKind.Reply, [callerSession, id, true, reply]);
     } catch (err) {
-      const detail = err instanceof Error ? err.message.slice(0, MAX_DETAIL) : 'unknown error';
-      send(from, EnvelopeKind.Reply, [asker, id, false, detail]);
+      const detail =
+        err instanceof Error ? err.message.slice(0, MAX_DETAIL_LENGTH) : 'unknown error';
+      send(from, EnvelopeKind.Reply, [callerSession, id, false, detail]);
     }
   }
 
-  function takeReply(from: InstanceId, fields: readonly unknown[]): void {
+  function handleReply(from: InstanceId, fields: readonly unknown[]): void {
     const waiting = fields[0] === session ? pending.get(readUnsignedInteger(fields[1])) : undefined;
     if (waiting?.to !== from) {
       count('late');
@@ -185,8 +189,8 @@
     );
   }
 
-  function takeNotice(from: InstanceId, fields: readonly unknown[]): void {
-    const listener = notices.get(readText(fields[0]));
+  function handleNotice(from: InstanceId, fields: readonly unknown[]): void {
+    const listener = noticeListeners.get(readText(fields[0]));
     if (!listener) {
       count('unhandled');
       return;
@@ -197,18 +201,18 @@
   function receive({ from, kind, payload }: PeerEnvelope): void {
     try {
       if (kind === EnvelopeKind.Call) {
-        answerCall(from, readArray(payload, 4)).catch(() => count('garbage'));
+        handleCall(from, readArray(payload, 4)).catch(() => count('garbage'));
       } else if (kind === EnvelopeKind.Reply) {
-        takeReply(from, readArray(payload, 4));
+        handleReply(from, readArray(payload, 4));
       } else if (kind === EnvelopeKind.Notice) {
-        takeNotice(from, readArray(payload, 2));
+        handleNotice(from, readArray(payload, 2));
       }
     } catch {
       count('garbage');
     }
   }
 
-  function registerIn(table: Map<string, Handler>, name: string, handler: Handler): Unregister {
+  function addHandler(table: Map<string, Handler>, name: string, handler: Handler): Unregister {
     invariant(!table.has(name), `topic ${name} is registered once`);
     table.set(name, handler);
     return () => {
@@ -217,11 +221,12 @@
   }
 
   return {
-    // The types of the topic stand for what the other side's handler promises.
+    // The reply is not validated here: its type is the one that the topic declares for its handler.
     call: call as PeerCalls['call'],
     notify: (to, topic, payload) => send(to, EnvelopeKind.Notice, [topic.name, payload]),
-    registerHandler: (topic, handler) => registerIn(handlers, topic.name, handler as Handler),
-    registerNotice: (topic, listener) => registerIn(notices, topic.name, listener as Handler),
+    registerHandler: (topic, handler) => addHandler(handlers, topic.name, handler as Handler),
+    registerNotice: (topic, listener) =>
+      addHandler(noticeListeners, topic.name, listener as Handler),
     receive,
     getCounters: () => counters,
   };
--- a/packages/membership/src/MembershipCodec.ts
+++ b/packages/membership/src/MembershipCodec.ts
@@ -1,6 +1,7 @@
 /**
- * Gossip messages as bytes. Messages are arrays of msgpackr: the names of the fields would cost more than
- * their values. Fields are only ever added at the end, so that two releases understand each other.
+ * Codec for gossip messages. A message is a msgpack array, because field names would take more
+ * bytes than the values. New fields are only appended, so that two releases can decode each other's
+ * messages.
  */
 import { Packr } from 'msgpackr';
 import type {
@@ -27,13 +28,13 @@
 
 const UINT32 = 2 ** 32 - 1;
 const MAX_PORT = 65535;
-/** Ages of domains are told in steps of this many milliseconds, rounded up. */
+/** Ages of domains are encoded in steps of this many milliseconds, rounded up. */
 const AGE_STEP = 100;
 const AGE_BYTES = 4;
 const HASH_BYTES = 4;
-const COMMON_FIELDS = 9;
+const MESSAGE_FIELDS = 9;
 
-/** A message as an array that msgpackr can pack; `decodeGossip` is its inverse. */
+/** Encodes a message; `decodeGossip` is the inverse. */
 export function encodeGossip(message: GossipMessage): Uint8Array {
   const { sender } = message;
   const common = [
@@ -49,9 +50,9 @@
   return packr.pack([...common, writeBody(message)]);
 }
 
-/** Reads a message; throws WireError on anything that is not one. */
+/** Decodes a message; throws WireError on malformed bytes. */
 export function decodeGossip(bytes: Uint8Array): GossipMessage {
-  const fields = readArray(unpack(bytes), COMMON_FIELDS);
+  const fields = readArray(unpack(bytes), MESSAGE_FIELDS);
   const [kind, id, bootId, incarnation, phase, updates, ages, topics, body] = fields;
   const common: GossipCommon = {
     sender: readTag([id, bootId, incarnation, phase]),
@@ -62,12 +63,12 @@
   return readBody(readUnsignedInteger(kind), common, readArray(body));
 }
 
-/** Bytes to a value; garbage throws WireError and never anything else. */
+/** Unpacks msgpack bytes; malformed bytes always throw WireError and no other error. */
 export function unpack(bytes: Uint8Array): unknown {
   try {
     return packr.unpack(bytes);
   } catch (err) {
-    throw new WireError('bytes that do not decode', { cause: err });
+    throw new WireError('bytes are not valid msgpack', { cause: err });
   }
 }
 
@@ -88,7 +89,7 @@
     case GossipKind.Records:
       return [writeHashes(message.wanted)];
     default:
-      throw new WireError('unknown kind of message');
+      throw new WireError('unknown gossip message kind');
   }
 }
 
@@ -109,7 +110,7 @@
     case GossipKind.Records:
       return { ...common, kind, wanted: readHashes(readBytes(body[0])) };
     default:
-      throw new WireError('unknown kind of message');
+      throw new WireError('unknown gossip message kind');
   }
 }
 
@@ -175,7 +176,10 @@
   return { topic: readUnsignedInteger(topic, 255), bytes: readBytes(bytes) };
 }
 
-/** Three bytes of the domain's hash and one of its age, rounded up so that no hop makes news younger. */
+/**
+ * Encodes each age as three bytes of the domain's hash and one byte of age. The age is rounded up,
+ * so that no hop makes it smaller than it is.
+ */
 function writeAges(ages: readonly DomainAge[]): Uint8Array {
   const bytes = Buffer.alloc(ages.length * AGE_BYTES);
   ages.forEach(({ domainHash, age }, i) => {
@@ -188,8 +192,11 @@
 function readAges(bytes: Uint8Array): readonly DomainAge[] {
   const view = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const ages: DomainAge[] = [];
-  for (let at = 0; at + AGE_BYTES <= view.length; at += AGE_BYTES) {
-    ages.push({ domainHash: view.readUIntBE(at, 3), age: view.readUInt8(at + 3) * AGE_STEP });
+  for (let offset = 0; offset + AGE_BYTES <= view.length; offset += AGE_BYTES) {
+    ages.push({
+      domainHash: view.readUIntBE(offset, 3),
+      age: view.readUInt8(offset + 3) * AGE_STEP,
+    });
   }
   return ages;
 }
@@ -203,8 +210,8 @@
 function readHashes(bytes: Uint8Array): readonly number[] {
   const view = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const hashes: number[] = [];
-  for (let at = 0; at + HASH_BYTES <= view.length; at += HASH_BYTES) {
-    hashes.push(view.readUInt32BE(at));
+  for (let offset = 0; offset + HASH_BYTES <= view.length; offset += HASH_BYTES) {
+    hashes.push(view.readUInt32BE(offset));
   }
   return hashes;
 }
--- a/packages/membership/src/MembershipDigests.ts
+++ b/packages/membership/src/MembershipDigests.ts
@@ -1,16 +1,23 @@
 /**
- * Small values of other parts that all instances should know: what an engine holds, poison suspects, the
- * revision of the manifest that each instance has in force. Keyed by a text, told with their age.
+ * Small values of other packages that all instances should know: what an engine holds, suspected poison
+ * requests, the manifest revision that each instance has in force. They have string keys and are gossiped
+ * with their age.
  */
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import { Packr } from 'msgpackr';
 import type { GossipTableConfig } from './MembershipGossipTable.js';
-import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
+import {
+  createGossipTable,
+  getTableEntry,
+  mergeDigest,
+  recordLocalValue,
+  collectDigest,
+} from './MembershipGossipTable.js';
 import { unpack } from './MembershipCodec.js';
 import type { GossipTopic, TopicCode } from './MembershipTopics.js';
 import { MembershipError } from './MembershipErrors.js';
 
-/** A value that does not fit into a digest. */
+/** Thrown for a value that is too large for a digest. */
 export const DigestSizeError = MembershipError.subclass('DigestSizeError');
 
 export interface DigestOptions {
@@ -18,44 +25,44 @@
   readonly bytesPerSecond: number;
   readonly bytesPerMessage: number;
   readonly crossesDomains: boolean;
-  /** How often one instance passes a value on. */
+  /** How many times one instance sends a value. */
   readonly maxSends?: number;
-  /** Values not recorded again for this long are forgotten. */
+  /** Values not recorded again for this long expire. */
   readonly retention: Millis;
   readonly maxEntries?: number;
 }
 
-/** A value with the local time at which it was recorded, as near as can be told. */
+/** A value with the estimated local time at which it was recorded. */
 export interface SeenDigest<Value> {
   readonly value: Value;
   readonly seenAt: Millis;
 }
 
-/** Values of one kind, the same on all instances after a while. The latest recorded stands. */
+/** Values of one kind, eventually consistent across instances. The value recorded last wins. */
 export interface DigestGossip<Value> {
   readonly topic: GossipTopic;
-  /** Records a value; at most 200 bytes once packed. Record it again now and then to keep it. */
+  /** Records a value of at most 200 bytes when packed. It expires unless it is recorded again. */
   record(key: string, value: Value, now: Millis): void;
   get(key: string, now: Millis): SeenDigest<Value> | null;
-  /** All values that are not forgotten; keys are known by their hash only. */
+  /** Returns all values that have not expired, without their keys: only hashes of the keys are stored. */
   getAll(now: Millis): readonly SeenDigest<Value>[];
-  /** Tells of values that came from other instances. */
+  /** Calls the listener after each digest received from another instance. */
   registerListener(listener: () => void): Unregister;
 }
 
 const MAX_VALUE_BYTES = 200;
 const DEFAULT_MAX_SENDS = 6;
 const DEFAULT_MAX_ENTRIES = 4096;
-const SAME_WITHIN: Millis = 15_000;
+const DUPLICATE_WINDOW: Millis = 15_000;
 
 const packr = new Packr({ useRecords: false });
 
-/** Creates a digest with its topic, to be registered with membership. */
+/** Creates an empty set of values, with the topic to register with membership. */
 export function createDigestGossip<Value>(options: DigestOptions): DigestGossip<Value> {
   const cfg: GossipTableConfig = {
     valueBytes: 0,
     maxSends: options.maxSends ?? DEFAULT_MAX_SENDS,
-    duplicateWindow: SAME_WITHIN,
+    duplicateWindow: DUPLICATE_WINDOW,
     retention: options.retention,
     maxEntries: options.maxEntries ?? DEFAULT_MAX_ENTRIES,
   };
@@ -67,7 +74,7 @@
       bytesPerSecond: options.bytesPerSecond,
       bytesPerMessage: options.bytesPerMessage,
       crossesDomains: options.crossesDomains,
-      collect: (room, to, now) => collectDigest(table, room, to, now),
+      collect: (maxBytes, to, now) => collectDigest(table, maxBytes, to, now),
       merge(bytes, from, now) {
         mergeDigest(table, bytes, from, now);
         listeners.forEach((listener) => listener());
@@ -76,20 +83,22 @@
     record(key, value, now) {
       const bytes = packr.pack(value);
       if (bytes.length > MAX_VALUE_BYTES) {
-        throw new DigestSizeError(`a digest of ${bytes.length} bytes is over ${MAX_VALUE_BYTES}`);
+        throw new DigestSizeError(
+          `a value of ${bytes.length} bytes exceeds the limit of ${MAX_VALUE_BYTES}`,
+        );
       }
       recordLocalValue(table, key, bytes.toString('latin1'), now);
     },
     get(key, now) {
       const entry = getTableEntry(table, key);
       return entry && now - entry.seenAt < cfg.retention
-        ? { value: readValue<Value>(entry.value), seenAt: entry.seenAt }
+        ? { value: decodeValue<Value>(entry.value), seenAt: entry.seenAt }
         : null;
     },
     getAll: (now) =>
       [...table.entries.values()]
         .filter(({ seenAt }) => now - seenAt < cfg.retention)
-        .map(({ value, seenAt }) => ({ value: readValue<Value>(value), seenAt })),
+        .map(({ value, seenAt }) => ({ value: decodeValue<Value>(value), seenAt })),
     registerListener(listener) {
       listeners.add(listener);
       return () => {
@@ -99,6 +108,6 @@
   };
 }
 
-function readValue<Value>(text: string): Value {
+function decodeValue<Value>(text: string): Value {
   return unpack(Buffer.from(text, 'latin1')) as Value;
 }
--- a/packages/membership/src/MembershipDuties.ts
+++ b/packages/membership/src/MembershipDuties.ts
@@ -1,13 +1,14 @@
 /**
- * Duties shared over the live instances of a domain by rendezvous hashing. A duty is a hint and no lock:
- * while views differ two instances may hold one, or none, so only work that stands being done twice or
- * late may hang on it.
+ * Assigns duties to the live instances of a domain by rendezvous hashing. A duty is a hint, not a lock:
+ * while membership views differ, two instances may hold a duty, or none. Only work that may safely run
+ * twice or late may depend on one.
  */
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { InstanceId, Unregister } from '@skylarksail/core/CoreTypes';
 import type { Membership } from './MembershipService.js';
 import { getDomainView } from './MembershipViews.js';
 
+/** The owner of a duty, with its rendezvous hashing weight. */
 interface Holder {
   readonly owner: InstanceId;
   readonly weight: number;
@@ -19,7 +20,7 @@
   readonly holders: ReadonlyMap<string, Holder | null>;
 }
 
-/** Duties that came to us, and those that went. */
+/** Duties that this instance gained and lost. */
 export interface DutyChange {
   readonly gained: readonly string[];
   readonly lost: readonly string[];
@@ -34,7 +35,10 @@
   return { self, live: new Set(), holders: new Map() };
 }
 
-/** Takes in who is live. Only duties that an instance gained or lost are weighed anew. */
+/**
+ * Applies the set of live instances. Duties whose owner is gone are weighed against all live instances,
+ * the others only against those that joined.
+ */
 export function applyLive(state: DutyState, live: readonly InstanceId[]): DutyStep {
   const next = new Set(live);
   const joined = live.filter((id) => !state.live.has(id));
@@ -49,10 +53,10 @@
       isOrphan ? chooseHolder(duty, null, live) : chooseHolder(duty, holder, joined),
     );
   }
-  return finishStep(state, { ...state, live: next, holders });
+  return createDutyStep(state, { ...state, live: next, holders });
 }
 
-/** Takes in which duties there are. */
+/** Applies the set of duties. Those already known keep their owner. */
 export function applyDuties(state: DutyState, duties: readonly string[]): DutyStep {
   const live = [...state.live];
   const holders = new Map<string, Holder | null>();
@@ -60,15 +64,15 @@
     const known = state.holders.get(duty);
     holders.set(duty, known === undefined ? chooseHolder(duty, null, live) : known);
   }
-  return finishStep(state, { ...state, holders });
+  return createDutyStep(state, { ...state, holders });
 }
 
-/** Who holds a duty in our view, or null if nobody can. */
+/** Returns the owner of a duty in this instance's view; null if it is unknown or no instance is live. */
 export function getDutyOwner(state: DutyState, duty: string): InstanceId | null {
   return state.holders.get(duty)?.owner ?? null;
 }
 
-/** The duties that are ours in our view. */
+/** Returns the duties that this instance owns in its view. */
 export function getOwnDuties(state: DutyState): readonly string[] {
   const own: string[] = [];
   for (const [duty, holder] of state.holders) {
@@ -98,20 +102,20 @@
   return chosen;
 }
 
-function finishStep(before: DutyState, after: DutyState): DutyStep {
-  const had = new Set(getOwnDuties(before));
-  const has = getOwnDuties(after);
-  const hasNow = new Set(has);
+function createDutyStep(before: DutyState, after: DutyState): DutyStep {
+  const ownBefore = new Set(getOwnDuties(before));
+  const ownAfter = getOwnDuties(after);
+  const ownAfterSet = new Set(ownAfter);
   return {
     state: after,
     change: {
-      gained: has.filter((duty) => !had.has(duty)),
-      lost: [...had].filter((duty) => !hasNow.has(duty)),
+      gained: ownAfter.filter((duty) => !ownBefore.has(duty)),
+      lost: [...ownBefore].filter((duty) => !ownAfterSet.has(duty)),
     },
   };
 }
 
-/** Duties as the daemon uses them: they follow membership. */
+/** The duties of a domain, reassigned as its membership changes. */
 export interface Duties {
   setDuties(duties: readonly string[]): void;
   getOwner(duty: string): InstanceId | null;
@@ -121,7 +125,7 @@
   stop(): void;
 }
 
-/** Creates the duties of our own domain, shared over its live instances. */
+/** Creates the duties of the instance's own domain and keeps them up to date with membership. */
 export function createDuties(
   self: { id: InstanceId; domain: string },
   membership: Membership,
@@ -129,26 +133,26 @@
   const listeners = new Set<(change: DutyChange) => void>();
   let state = createDutyState(self.id);
 
-  function take(step: DutyStep): void {
+  function applyStep(step: DutyStep): void {
     state = step.state;
     if (step.change.gained.length + step.change.lost.length > 0) {
       listeners.forEach((listener) => listener(step.change));
     }
   }
 
-  function readLive(): void {
-    take(applyLive(state, getDomainView(membership.getState().members, self.domain).live));
+  function refreshLive(): void {
+    applyStep(applyLive(state, getDomainView(membership.getState().members, self.domain).live));
   }
 
   const stop = membership.registerListener((event) => {
     if (event.kind === 'member' && event.change.domain === self.domain) {
-      readLive();
+      refreshLive();
     }
   });
-  readLive();
+  refreshLive();
 
   return {
-    setDuties: (duties) => take(applyDuties(state, duties)),
+    setDuties: (duties) => applyStep(applyDuties(state, duties)),
     getOwner: (duty) => getDutyOwner(state, duty),
     isOwn: (duty) => getDutyOwner(state, duty) === self.id,
     getOwn: () => getOwnDuties(state),
--- a/packages/membership/src/MembershipEffects.ts
+++ b/packages/membership/src/MembershipEffects.ts
@@ -1,11 +1,11 @@
-/** What the membership machine asks to be done, and the little that joins its steps. */
+/** Effects of the membership state machine, and helpers to create and combine its steps. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { GossipMessage } from './MembershipMessages.js';
 import type { MemberRecord } from './MembershipRecords.js';
 import type { ListedInstance, MembershipState } from './MembershipState.js';
 
-/** How a member's standing changed. */
+/** How the status of a member changed. */
 export const MemberChangeKind = {
   Joined: 'joined',
   Restarted: 'restarted',
@@ -30,7 +30,7 @@
   | { readonly kind: 'member'; readonly change: MemberChange }
   | { readonly kind: 'domain'; readonly domain: DomainId; readonly reachable: boolean };
 
-/** Time and chance, which the core is given and never takes. */
+/** Time and randomness, passed in so that the state machine is deterministic. */
 export interface StepContext {
   readonly now: Millis;
   readonly random: Random;
@@ -43,7 +43,6 @@
 
 export type MembershipAction = (state: MembershipState, ctx: StepContext) => MembershipStep;
 
-/** A step without effects. */
 export function createStep(
   state: MembershipState,
   effects: readonly MembershipEffect[] = [],
@@ -51,7 +50,7 @@
   return { state, effects };
 }
 
-/** Runs actions one after the other, each on the state that the one before left. */
+/** Runs actions in sequence, each on the state that the previous one returned. */
 export function runActions(
   state: MembershipState,
   ctx: StepContext,
--- a/packages/membership/src/MembershipEnvelope.ts
+++ b/packages/membership/src/MembershipEnvelope.ts
@@ -1,12 +1,15 @@
 /**
- * The one envelope in which instances send each other anything: gossip, calls, replies and notices. The
- * carrier needs to know no more than bytes and the instance that they are for.
+ * Envelope of every message between instances: gossip, calls, replies and notices. The transport
+ * handles only its bytes and the receiving instance.
  */
 import type { InstanceId } from '@skylarksail/core/CoreTypes';
 import { Packr } from 'msgpackr';
 import { readArray, readText, readUnsignedInteger, WireError } from './MembershipWire.js';
 
-/** Kinds of envelope. The numbers are on the wire and are never given a new meaning. */
+/**
+ * Kinds of envelope. The numbers are part of the wire format; a number is never reused for another
+ * kind.
+ */
 export const EnvelopeKind = {
   Gossip: 1,
   Call: 2,
@@ -19,25 +22,25 @@
 export interface PeerEnvelope {
   readonly from: InstanceId;
   readonly kind: EnvelopeKindCode;
-  /** Bytes of gossip, or the fields of a call, a reply or a notice. */
+  /** Encoded gossip, or the fields of a call, a reply or a notice. */
   readonly payload: unknown;
 }
 
-// Records are defined inside each message. Definitions shared between messages would save some bytes,
-// but after one lost or reordered message, or between two releases, values would land in wrong fields.
+// Each message contains its own msgpackr record definitions. Sharing definitions between messages
+// would save some bytes, but after a lost or reordered message, or between two releases, values
+// would decode into the wrong fields.
 const packr = new Packr({ useRecords: true });
 
-/** An envelope as bytes. */
 export function encodeEnvelope(envelope: PeerEnvelope): Uint8Array {
   return packr.pack([envelope.kind, envelope.from, envelope.payload]);
 }
 
-/** Reads an envelope; throws WireError on anything that is not one. */
+/** Decodes an envelope; throws WireError on malformed bytes. */
 export function decodeEnvelope(bytes: Uint8Array): PeerEnvelope {
   const [kind, from, payload] = readArray(unpackEnvelope(bytes), 3);
   const kindCode = readUnsignedInteger(kind, EnvelopeKind.Notice);
   if (kindCode === 0) {
-    throw new WireError('unknown kind of envelope');
+    throw new WireError('unknown envelope kind');
   }
   return { kind: kindCode as EnvelopeKindCode, from: readText(from), payload };
 }
@@ -46,6 +49,6 @@
   try {
     return packr.unpack(bytes);
   } catch (err) {
-    throw new WireError('bytes that do not decode', { cause: err });
+    throw new WireError('bytes are not valid msgpack', { cause: err });
   }
 }
--- a/packages/membership/src/MembershipErrors.ts
+++ b/packages/membership/src/MembershipErrors.ts
@@ -1,5 +1,5 @@
-/** Errors of the membership package; errors from below are turned into these. */
+/** Error types of the membership package. Errors of lower layers are wrapped in these. */
 import { SkylarkError } from '@skylarksail/core/CoreErrors';
 
-/** Any failure that this package reports by throwing. */
+/** Base class of all errors that this package throws. */
 export const MembershipError = SkylarkError.subclass('MembershipError');
--- a/packages/membership/src/MembershipGossipTable.ts
+++ b/packages/membership/src/MembershipGossipTable.ts
@@ -1,39 +1,39 @@
 /**
- * A table of small values that are told with their age: of two values for one key the one seen later
- * stands. No clock is compared between instances, and what is late or repeated does no harm. Each value
- * is passed on a few times by each instance; changed values go before those merely seen again.
+ * A table of small values that instances gossip together with their age: for each key, the value observed
+ * last wins. Ages are relative, so clocks are not compared between instances, and late or repeated digests
+ * do no harm. Each instance sends a value a limited number of times; changed values take precedence over
+ * values that were observed again unchanged.
  *
- * The table is changed in place: it is read and written with every message, and copies of it were a third
- * of the processor time of all gossip.
+ * The table is mutated in place: it is read and written with every message, and copying it took a third of
+ * the CPU time of all gossip.
  */
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import { WireError } from './MembershipWire.js';
 
-/** How values of one table are spread. */
 export interface GossipTableConfig {
-  /** Bytes of each value; 0 for values of different length, up to 255 bytes. */
+  /** Size of each value; 0 for values of variable length, up to 255 bytes. */
   readonly valueBytes: number;
-  /** How often one instance passes a value on. */
+  /** How many times one instance sends a value. */
   readonly maxSends: number;
-  /** The same value seen again within this time is old news. */
+  /** The same value observed again within this time is a duplicate and is not sent anew. */
   readonly duplicateWindow: Millis;
-  /** Values not seen for this long are dropped. */
+  /** Age at which a value expires. */
   readonly retention: Millis;
   readonly maxEntries: number;
 }
 
 export interface GossipTableEntry {
   readonly key: number;
-  /** Its bytes, one character each: short texts are far cheaper to make and compare than arrays. */
+  /** Its bytes, one character each: short strings are far cheaper to create and compare than arrays. */
   readonly value: string;
-  /** Local time at which it was true, as near as can be told; never later than that. */
+  /** Estimated local time of the observation; the rounding of ages only makes it earlier. */
   readonly seenAt: Millis;
-  /** How often we passed it on, or heard that others have it. */
+  /** How many times this instance sent the value, or received the same observation again. */
   readonly sends: number;
-  /** Who told us; it need not be told. */
+  /** The instance that sent the value, to which it is not sent back; null if observed locally. */
   readonly from: InstanceId | null;
-  /** Whether it differed from the value before. */
+  /** Whether it differs from the previous value of the key. */
   readonly isChange: boolean;
 }
 
@@ -42,18 +42,21 @@
   readonly entries: Map<number, GossipTableEntry>;
 }
 
-/** Two keys of a domain's 350 engines collide once in 270 domains; the load is a hint in any case. */
+/**
+ * With 350 engines in a domain, two of their keys collide in one of 270 domains. That is acceptable, as
+ * the load is only a hint.
+ */
 const KEY_BYTES = 3;
 const KEY_LIMIT = 2 ** 24;
 const AGE_BYTES = 1;
-/** Ages are told in fine steps up to the 128th, in coarse ones beyond; always rounded up. */
+/** Ages are encoded in fine steps below the 128th and in coarse steps from there on, always rounded up. */
 const FINE_STEP: Millis = 100;
 const FINE_STEPS = 128;
 const COARSE_STEP: Millis = 5000;
 const MAX_AGE_CODE = 255;
 const KEPT_SHARE = 0.75;
 
-/** A table's key for a name, the same on every instance. */
+/** Hashes a name to its key in a table, the same on every instance. */
 export function getTableKey(name: string): number {
   return hash32(name) % KEY_LIMIT;
 }
@@ -62,13 +65,18 @@
   return { cfg, entries: new Map() };
 }
 
-/** Notes a value that we saw ourselves, at `now`. */
-export function recordLocalValue(table: GossipTable, name: string, value: string, now: Millis): void {
-  takeEntry(table, { key: getTableKey(name), value, seenAt: now, from: null });
-  limitEntries(table, now);
+/** Records a value that this instance observed itself at `now`. */
+export function recordLocalValue(
+  table: GossipTable,
+  name: string,
+  value: string,
+  now: Millis,
+): void {
+  mergeEntry(table, { key: getTableKey(name), value, seenAt: now, from: null });
+  evictEntries(table, now);
 }
 
-/** Takes in a digest of another instance. Throws WireError on bytes that are not one. */
+/** Merges a digest of another instance. Throws WireError if the bytes are not a valid digest. */
 export function mergeDigest(
   table: GossipTable,
   bytes: Uint8Array,
@@ -77,50 +85,49 @@
 ): void {
   const view = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const { valueBytes } = table.cfg;
-  let at = 0;
-  while (at < view.length) {
-    if (at + KEY_BYTES + AGE_BYTES >= view.length) {
-      throw new WireError('digest is cut off');
+  let offset = 0;
+  while (offset < view.length) {
+    if (offset + KEY_BYTES + AGE_BYTES >= view.length) {
+      throw new WireError('digest is truncated');
     }
-    const key = view.readUIntBE(at, KEY_BYTES);
-    const age = decodeAge(view.readUInt8(at + KEY_BYTES));
-    at += KEY_BYTES + AGE_BYTES;
-    const length = valueBytes || view.readUInt8(at);
-    at += valueBytes ? 0 : 1;
-    if (at + length > view.length) {
-      throw new WireError('digest is cut off');
+    const key = view.readUIntBE(offset, KEY_BYTES);
+    const age = decodeAge(view.readUInt8(offset + KEY_BYTES));
+    offset += KEY_BYTES + AGE_BYTES;
+    const length = valueBytes || view.readUInt8(offset);
+    offset += valueBytes ? 0 : 1;
+    if (offset + length > view.length) {
+      throw new WireError('digest is truncated');
     }
-    const value = view.toString('latin1', at, at + length);
-    takeEntry(table, { key, value, seenAt: now - age, from });
-    at += length;
+    const value = view.toString('latin1', offset, offset + length);
+    mergeEntry(table, { key, value, seenAt: now - age, from });
+    offset += length;
   }
-  limitEntries(table, now);
+  evictEntries(table, now);
 }
 
-/** The next digest of at most `room` bytes for `to`; each entry in it counts as passed on once more. */
+/** Encodes the next digest of at most `maxBytes` for `to`, and counts each entry in it as sent once more. */
 export function collectDigest(
   table: GossipTable,
-  room: number,
+  maxBytes: number,
   to: InstanceId,
   now: Millis,
 ): Uint8Array {
-  const chosen = chooseEntries(table, room, to);
-  const size = chosen.reduce((sum, entry) => sum + measureEntry(table.cfg, entry), 0);
+  const chosen = selectEntries(table, maxBytes, to);
+  const size = chosen.reduce((sum, entry) => sum + getEntrySize(table.cfg, entry), 0);
   const bytes = Buffer.alloc(size);
-  let at = 0;
+  let offset = 0;
   for (const entry of chosen) {
-    at = writeEntry(table.cfg, bytes, at, entry, now);
+    offset = writeEntry(table.cfg, bytes, offset, entry, now);
     table.entries.set(entry.key, { ...entry, sends: entry.sends + 1 });
   }
   return bytes;
 }
 
-/** What is known of a name. */
 export function getTableEntry(table: GossipTable, name: string): GossipTableEntry | null {
   return table.entries.get(getTableKey(name)) ?? null;
 }
 
-/** An age as a byte, rounded up so that no hop makes a value younger. */
+/** Encodes an age in one byte, rounded up so that no hop makes a value appear younger than it is. */
 export function encodeAge(age: Millis): number {
   const fine = Math.ceil(Math.max(0, age) / FINE_STEP);
   if (fine < FINE_STEPS) {
@@ -135,39 +142,44 @@
   return fine * FINE_STEP + (code - fine) * COARSE_STEP;
 }
 
-type Sighting = Pick<GossipTableEntry, 'key' | 'value' | 'seenAt' | 'from'>;
+type Observation = Pick<GossipTableEntry, 'key' | 'value' | 'seenAt' | 'from'>;
 
-function takeEntry({ cfg, entries }: GossipTable, seen: Sighting): void {
-  const known = entries.get(seen.key);
+function mergeEntry({ cfg, entries }: GossipTable, observed: Observation): void {
+  const known = entries.get(observed.key);
   if (!known) {
-    entries.set(seen.key, { ...seen, sends: 0, isChange: true });
+    entries.set(observed.key, { ...observed, sends: 0, isChange: true });
     return;
   }
-  const isSame = known.value === seen.value;
-  if (isSame && Math.abs(seen.seenAt - known.seenAt) < cfg.duplicateWindow) {
-    // The same sighting by another path, though rounded ages may make it look a little newer. Taken as
-    // a new one it would be passed on for ever; as it is, it shows that others have it already.
-    const seenAt = Math.max(known.seenAt, seen.seenAt);
-    entries.set(seen.key, { ...known, seenAt, sends: known.sends + 1 });
+  const isSame = known.value === observed.value;
+  if (isSame && Math.abs(observed.seenAt - known.seenAt) < cfg.duplicateWindow) {
+    // The same observation by another path, which may look slightly newer because ages are rounded. If it
+    // were treated as new, instances would resend it to each other forever. It counts as a send instead,
+    // because other instances already have the value.
+    const seenAt = Math.max(known.seenAt, observed.seenAt);
+    entries.set(observed.key, { ...known, seenAt, sends: known.sends + 1 });
     return;
   }
-  if (seen.seenAt > known.seenAt) {
-    // Taken out first, so that the order of the table is that in which the values came.
-    entries.delete(seen.key);
-    entries.set(seen.key, { ...seen, sends: 0, isChange: !isSame });
+  if (observed.seenAt > known.seenAt) {
+    // Deleted first, so that the map iterates in the order in which values arrived.
+    entries.delete(observed.key);
+    entries.set(observed.key, { ...observed, sends: 0, isChange: !isSame });
   }
 }
 
-function chooseEntries(table: GossipTable, room: number, to: InstanceId): readonly GossipTableEntry[] {
+function selectEntries(
+  table: GossipTable,
+  maxBytes: number,
+  to: InstanceId,
+): readonly GossipTableEntry[] {
   const { cfg } = table;
   const chosen: GossipTableEntry[] = [];
   let used = 0;
-  for (const group of groupWaiting(table, to)) {
-    // From the end: what came last is the freshest.
+  for (const group of groupByPriority(table, to)) {
+    // Iterates backwards: the entries that arrived last are the newest.
     for (let i = group.length - 1; i >= 0; i--) {
       const entry = group[i] as GossipTableEntry;
-      used += measureEntry(cfg, entry);
-      if (used > room) {
+      used += getEntrySize(cfg, entry);
+      if (used > maxBytes) {
         return chosen;
       }
       chosen.push(entry);
@@ -176,8 +188,11 @@
   return chosen;
 }
 
-/** Entries to be passed on, the most urgent group first: seldom sent, then changed. */
-function groupWaiting({ cfg, entries }: GossipTable, to: InstanceId): readonly GossipTableEntry[][] {
+/** Groups the entries still to be sent: fewest sends first, and changed values before unchanged ones. */
+function groupByPriority(
+  { cfg, entries }: GossipTable,
+  to: InstanceId,
+): readonly GossipTableEntry[][] {
   const groups = Array.from({ length: 2 * cfg.maxSends }, (): GossipTableEntry[] => []);
   for (const entry of entries.values()) {
     if (entry.sends < cfg.maxSends && entry.from !== to) {
@@ -187,7 +202,7 @@
   return groups;
 }
 
-function measureEntry(cfg: GossipTableConfig, entry: GossipTableEntry): number {
+function getEntrySize(cfg: GossipTableConfig, entry: GossipTableEntry): number {
   return KEY_BYTES + AGE_BYTES + (cfg.valueBytes || 1 + entry.value.length);
 }
 
@@ -198,22 +213,22 @@
   entry: GossipTableEntry,
   now: Millis,
 ): number {
-  let at = bytes.writeUIntBE(entry.key, start, KEY_BYTES);
-  at = bytes.writeUInt8(encodeAge(now - entry.seenAt), at);
+  let offset = bytes.writeUIntBE(entry.key, start, KEY_BYTES);
+  offset = bytes.writeUInt8(encodeAge(now - entry.seenAt), offset);
   if (!cfg.valueBytes) {
-    at = bytes.writeUInt8(entry.value.length, at);
+    offset = bytes.writeUInt8(entry.value.length, offset);
   }
-  return at + bytes.write(entry.value, at, 'latin1');
+  return offset + bytes.write(entry.value, offset, 'latin1');
 }
 
-/** Drops what was not seen for long, and the oldest beyond the bound. */
-function limitEntries({ cfg, entries }: GossipTable, now: Millis): void {
+/** Drops expired entries and the oldest ones once the table exceeds its maximum size. */
+function evictEntries({ cfg, entries }: GossipTable, now: Millis): void {
   if (entries.size <= cfg.maxEntries) {
     return;
   }
   const ordered = [...entries.values()].sort((a, b) => b.seenAt - a.seenAt);
   ordered.forEach((entry, i) => {
-    // A quarter is freed at once, so that the sorting is not done for each new entry.
+    // Frees a quarter of the table at once, so that it is not sorted again for each new entry.
     if (i >= cfg.maxEntries * KEPT_SHARE || now - entry.seenAt >= cfg.retention) {
       entries.delete(entry.key);
     }
--- a/packages/membership/src/MembershipLoad.ts
+++ b/packages/membership/src/MembershipLoad.ts
@@ -1,19 +1,26 @@
 /**
- * Load of the engines of a domain: the owner of an engine polls it and notes what it says, the rest learn
- * it in digests of six bytes an engine, coarse and with its age.
+ * Load of the engines of a domain. The owner of an engine, the instance whose duty it is, polls it and
+ * records the reported load. Other instances receive the load in digests of six bytes per engine, quantized
+ * and with its age.
  */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import type { EngineLoad } from '@skylarksail/core/CoreEngine';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { GossipTableConfig, GossipTable } from './MembershipGossipTable.js';
-import { createGossipTable, getTableEntry, mergeDigest, recordLocalValue, collectDigest } from './MembershipGossipTable.js';
+import {
+  createGossipTable,
+  getTableEntry,
+  mergeDigest,
+  recordLocalValue,
+  collectDigest,
+} from './MembershipGossipTable.js';
 import type { GossipTopic } from './MembershipTopics.js';
 import { TopicNumber } from './MembershipTopics.js';
 
-/** How often an owner polls each of its engines; docs/design/load-knowledge.md tells why. */
+/** Period at which an owner polls each of its engines; docs/design/load-knowledge.md gives the reasons. */
 export const LOAD_POLL_PERIOD: Millis = 3000;
-/** What the digests of load may cost each instance. */
+/** Average rate at which each instance may send load digests. */
 export const LOAD_BYTES_PER_SECOND = 1000;
 const LOAD_BYTES_PER_MESSAGE = 420;
 
@@ -25,14 +32,14 @@
   maxEntries: 4096,
 };
 
-/** An engine's load as it is spread: counts are rounded to about a tenth of themselves. */
+/** An engine's load as digests encode it: counts are exact to about a tenth of their value. */
 export interface QuantizedLoad {
   readonly running: number;
   readonly queued: number;
-  /** Share of the KV cache in use, 0 to 1, in sixteenths. */
+  /** Share of the KV cache in use, 0 to 1, in 16 levels. */
   readonly kvUsed: number;
   readonly state: LifeStateName;
-  /** Local time at which the engine said so, as near as can be told. */
+  /** Estimated local time at which the engine reported it. */
   readonly seenAt: Millis;
 }
 
@@ -48,18 +55,17 @@
   return createGossipTable({ ...LOAD_TABLE_CONFIG, ...cfg });
 }
 
-/** Notes what an engine that we poll has just said. */
+/** Records the load that an engine polled by this instance has just reported. */
 export function recordLoad(table: LoadTable, load: EngineLoad, now: Millis): void {
   recordLocalValue(table, load.engine, encodeLoad(load), now);
 }
 
-/** What is known of one engine's load, or null. */
 export function getLoad(table: LoadTable, engine: EngineId): QuantizedLoad | null {
   const entry = getTableEntry(table, engine);
   return entry ? { ...decodeLoad(entry.value), seenAt: entry.seenAt } : null;
 }
 
-/** What is known of the given engines; those never heard of are left out. */
+/** Returns the known loads of the given engines; engines without a known load are left out. */
 export function getLoads(
   table: LoadTable,
   engines: readonly EngineId[],
@@ -74,7 +80,10 @@
   return loads;
 }
 
-/** Sixteen bits as two characters: running, queued and KV cache, each coarser the larger it is, and whether it leaves. */
+/**
+ * Packs a load into 16 bits, as two characters: running and queued on a logarithmic scale in 6 and 5 bits,
+ * KV cache use on a linear scale in 4 bits, and 1 bit for whether the engine is leaving.
+ */
 export function encodeLoad(
   load: Pick<EngineLoad, 'running' | 'queued' | 'kvUsed' | 'state'>,
 ): string {
@@ -82,17 +91,17 @@
   const queued = encodeCount(load.queued, QUEUED_SCALE, QUEUED_MAX);
   const kv = Math.round(Math.min(1, Math.max(0, load.kvUsed)) * KV_MAX);
   const leaving = load.state === LifeState.Leaving ? 1 : 0;
-  const word = running * 1024 + queued * 32 + kv * 2 + leaving;
-  return String.fromCharCode(Math.floor(word / 256), word % 256);
+  const packed = running * 1024 + queued * 32 + kv * 2 + leaving;
+  return String.fromCharCode(Math.floor(packed / 256), packed % 256);
 }
 
 export function decodeLoad(value: string): Omit<QuantizedLoad, 'seenAt'> {
-  const word = value.charCodeAt(0) * 256 + value.charCodeAt(1);
+  const packed = value.charCodeAt(0) * 256 + value.charCodeAt(1);
   return {
-    running: decodeCount(Math.floor(word / 1024), RUNNING_SCALE),
-    queued: decodeCount(Math.floor(word / 32) % 32, QUEUED_SCALE),
-    kvUsed: (Math.floor(word / 2) % 16) / KV_MAX,
-    state: word % 2 === 1 ? LifeState.Leaving : LifeState.Live,
+    running: decodeCount(Math.floor(packed / 1024), RUNNING_SCALE),
+    queued: decodeCount(Math.floor(packed / 32) % 32, QUEUED_SCALE),
+    kvUsed: (Math.floor(packed / 2) % 16) / KV_MAX,
+    state: packed % 2 === 1 ? LifeState.Leaving : LifeState.Live,
   };
 }
 
@@ -104,7 +113,7 @@
   return Math.round(2 ** (code / scale) - 1);
 }
 
-/** Load knowledge that rides on membership. */
+/** Engine loads, exchanged in gossip messages. */
 export interface LoadGossip {
   readonly topic: GossipTopic;
   recordLoad(load: EngineLoad, now: Millis): void;
@@ -117,7 +126,7 @@
   readonly cfg?: Partial<GossipTableConfig>;
 }
 
-/** Creates the load table of one instance with its topic, to be registered with membership. */
+/** Creates the load table of one instance, with the topic to register with membership. */
 export function createLoadGossip(options: LoadGossipOptions = {}): LoadGossip {
   const table = createLoadTable(options.cfg);
   return {
@@ -126,7 +135,7 @@
       bytesPerSecond: options.bytesPerSecond ?? LOAD_BYTES_PER_SECOND,
       bytesPerMessage: LOAD_BYTES_PER_MESSAGE,
       crossesDomains: false,
-      collect: (room, to, now) => collectDigest(table, room, to, now),
+      collect: (maxBytes, to, now) => collectDigest(table, maxBytes, to, now),
       merge: (bytes, from, now) => mergeDigest(table, bytes, from, now),
     },
     recordLoad: (load, now) => recordLoad(table, load, now),
--- a/packages/membership/src/MembershipMachine.ts
+++ b/packages/membership/src/MembershipMachine.ts
@@ -1,6 +1,6 @@
 /**
- * The membership machine of one instance, after SWIM: `stepMembership` takes the state and an event and
- * gives the next state and what is to be sent and told. It reads no clock and draws from the given source.
+ * SWIM membership of one instance as a pure state machine: `stepMembership` maps a state and an
+ * event to the next state and the effects to run. Time and randomness come from the step's context.
  */
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import { LifeState } from '@skylarksail/core/CoreConstants';
@@ -29,22 +29,29 @@
 export type MembershipEvent =
   | { readonly kind: 'tick' }
   | { readonly kind: 'message'; readonly message: GossipMessage }
-  /** The platform's list was read; it lags, so it adds names and never takes one away. */
+  /**
+   * The platform's instance list was read. It may be stale, so it adds instances to probe and never
+   * removes a member.
+   */
   | { readonly kind: 'listed'; readonly instances: readonly ListedInstance[] }
-  /** A connection to the instance was refused or broke: no proof, but grounds to ask at once. */
+  /**
+   * A connection to the instance was refused or broke. This does not prove a crash; it triggers an
+   * immediate probe.
+   */
   | { readonly kind: 'connection-lost'; readonly id: InstanceId }
-  /** A planned stop begins: no more duties, though we still answer. */
+  /** A planned stop begins: this instance gives up its duties but still answers messages. */
   | { readonly kind: 'leaving' }
-  /** The planned stop ends: the next thing is silence. */
+  /** The planned stop ends: this instance announces that it left and sends nothing afterwards. */
   | { readonly kind: 'left' };
 
-/** Ticks that come later than this many periods mean that this process was paused. */
-const LATE_TICKS = 3;
-/** Members told at once of a planned stop. */
-const FAREWELLS = 8;
-const PRUNE_SHARE = 0.001;
+/** A tick that is late by at least this many periods means that this process was paused. */
+const PAUSE_THRESHOLD_TICKS = 3;
+/** Members that are sent the record of a planned stop immediately. */
+const LEAVE_FANOUT = 8;
+/** Probability that a tick prunes expired tombstones. */
+const PRUNE_PROBABILITY = 0.001;
 
-/** One step of membership. */
+/** Applies one event and returns the next state with the effects to run. */
 export function stepMembership(
   state: MembershipState,
   event: MembershipEvent,
@@ -56,7 +63,7 @@
     case 'message':
       return stepMessage(state, ctx, event.message);
     case 'listed':
-      return createStep(readListed(state, event.instances));
+      return createStep(updateListed(state, event.instances));
     case 'connection-lost':
       return probeNow(state, ctx, event.id);
     case 'leaving':
@@ -80,38 +87,44 @@
     startProbe,
     contactDomains,
     reconnectMembers,
-    judgeDomains,
+    updateReachability,
     pruneTombstones,
   ]);
 }
 
 /**
- * After a pause of our own, the answers to our probes lie unread and the suspects' objections too. Judged
- * by the clock, a process that woke from a long pause would declare half of its domain dead.
+ * Cancels open probes and shifts deadlines if this process was paused. Acks and refutations that
+ * arrived during the pause are still unread, so without the shift a process resuming from a long
+ * pause would declare half of its domain dead.
  */
 function resumeAfterPause(state: MembershipState, now: Millis): MembershipState {
   const pause = now - state.lastTick - state.cfg.tick;
-  if (pause < LATE_TICKS * state.cfg.tick) {
+  if (pause < PAUSE_THRESHOLD_TICKS * state.cfg.tick) {
     return state;
   }
-  // News may have come in after the pause and before this tick. Moved into the future it would have a negative age,
-  // which cannot be told.
+  // A message may have arrived between the end of the pause and this tick. The shift stops at
+  // `now`, because a time in the future would give a negative age, which cannot be encoded.
   const getShift = (at: Millis): Millis => Math.min(pause, now - at);
   const suspicions = new Map(
-    [...state.suspicions].map(([id, one]) => {
-      const shift = getShift(one.since);
-      return [id, { ...one, since: one.since + shift, deadline: one.deadline + shift }];
+    [...state.suspicions].map(([id, suspicion]) => {
+      const shift = getShift(suspicion.since);
+      return [
+        id,
+        { ...suspicion, since: suspicion.since + shift, deadline: suspicion.deadline + shift },
+      ];
     }),
   );
-  const heard = new Map([...state.domainSeenAt].map(([domain, at]) => [domain, at + getShift(at)]));
-  return { ...state, probes: [], suspicions, domainSeenAt: heard };
+  const seenAt = new Map(
+    [...state.domainSeenAt].map(([domain, at]) => [domain, at + getShift(at)]),
+  );
+  return { ...state, probes: [], suspicions, domainSeenAt: seenAt };
 }
 
-function judgeDomains(state: MembershipState, ctx: StepContext): MembershipStep {
+function updateReachability(state: MembershipState, ctx: StepContext): MembershipStep {
   const effects: MembershipEffect[] = [];
   const reachable = new Set<DomainId>([state.self.domain]);
-  for (const [domain, heardAt] of state.domainSeenAt) {
-    const isReachable = ctx.now - heardAt <= state.cfg.domainTimeout;
+  for (const [domain, seenAt] of state.domainSeenAt) {
+    const isReachable = ctx.now - seenAt <= state.cfg.domainTimeout;
     if (isReachable) {
       reachable.add(domain);
     }
@@ -123,17 +136,20 @@
 }
 
 function pruneTombstones(state: MembershipState, ctx: StepContext): MembershipStep {
-  if (ctx.random.nextFloat() >= PRUNE_SHARE) {
+  if (ctx.random.nextFloat() >= PRUNE_PROBABILITY) {
     return createStep(state);
   }
   const oldest = ctx.now - state.cfg.tombstoneTime;
   const members = new Map(
-    [...state.members].filter(([, one]) => !isDead(one.record) || one.changedAt >= oldest),
+    [...state.members].filter(([, member]) => !isDead(member.record) || member.changedAt >= oldest),
   );
   return createStep(members.size === state.members.size ? state : { ...state, members });
 }
 
-function readListed(state: MembershipState, instances: readonly ListedInstance[]): MembershipState {
+function updateListed(
+  state: MembershipState,
+  instances: readonly ListedInstance[],
+): MembershipState {
   const others = instances.filter(({ id }) => id !== state.self.id);
   return {
     ...state,
@@ -161,13 +177,13 @@
   const others = getDomainView(state.members, state.self.domain).present.filter(
     (id) => id !== state.self.id,
   );
-  const told = sampleElements(ctx.random, others, FAREWELLS);
+  const told = sampleElements(ctx.random, others, LEAVE_FANOUT);
   return runActions(state, ctx, [
     (current) => updateSelf(current, change, ctx.now),
     ...told.map((id) => (current: MembershipState) => {
-      const to = findAddress(current, id);
-      return to
-        ? sendMessage(current, to, { kind: GossipKind.Records, wanted: [] }, ctx.now, [
+      const address = findAddress(current, id);
+      return address
+        ? sendMessage(current, address, { kind: GossipKind.Records, wanted: [] }, ctx.now, [
             current.self,
           ])
         : createStep(current);
--- a/packages/membership/src/MembershipMessages.ts
+++ b/packages/membership/src/MembershipMessages.ts
@@ -1,22 +1,25 @@
-/** The messages of membership, as one instance means them; MembershipCodec turns them into bytes. */
+/** Decoded gossip messages; MembershipCodec converts them to and from bytes. */
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { MemberRecord } from './MembershipRecords.js';
 
-/** Kinds of gossip message. The numbers are on the wire and are never given a new meaning. */
+/**
+ * Kinds of gossip message. The numbers are part of the wire format; a number is never reused for
+ * another kind.
+ */
 export const GossipKind = {
   Ping: 1,
   PingRequest: 2,
   Ack: 3,
-  /** A whole view, as hashes, to be compared. */
+  /** The hashes of a domain's view, which the receiver compares with its own. */
   Sync: 4,
-  /** Records that the other side lacks. */
+  /** Records that the receiver lacks, and a request for records that the sender lacks. */
   Records: 5,
 } as const;
 
 export type GossipKindCode = (typeof GossipKind)[keyof typeof GossipKind];
 
-/** What each message says of its sender. */
+/** Sender's identity and status, carried by each message. */
 export interface SenderTag {
   readonly id: InstanceId;
   readonly bootId: number;
@@ -24,27 +27,28 @@
   readonly phase: LifeStateName;
 }
 
-/** How long ago another domain was heard of. */
+/** Time since a domain was last seen. */
 export interface DomainAge {
   readonly domainHash: number;
   readonly age: Millis;
 }
 
-/** What rides on every message. */
+/** Fields of every message; updates, ages and topics are piggybacked on it. */
 export interface GossipCommon {
   readonly sender: SenderTag;
   readonly updates: readonly MemberRecord[];
   readonly ages: readonly DomainAge[];
-  /** Payloads of topics, by number of the topic. */
   readonly topics: readonly TopicPayload[];
 }
 
+/** Payload of one gossip topic. */
 export interface TopicPayload {
+  /** Number of the topic. */
   readonly topic: number;
   readonly bytes: Uint8Array;
 }
 
-/** A domain's view in four bytes. */
+/** 32-bit hash of the view of a domain. */
 export interface ViewHash {
   readonly domain: DomainId;
   readonly hash: number;
@@ -53,8 +57,9 @@
 export interface PingMessage extends GossipCommon {
   readonly kind: typeof GossipKind.Ping;
   readonly seq: number;
-  /** The sender's own record, so that a stranger can answer. */
+  /** The sender's own record, so that a receiver that does not know the sender can answer. */
   readonly self: MemberRecord;
+  /** Hash of the sender's view of one domain; the receiver may start a sync if its own differs. */
   readonly view: ViewHash | null;
 }
 
@@ -67,7 +72,9 @@
 export interface AckMessage extends GossipCommon {
   readonly kind: typeof GossipKind.Ack;
   readonly seq: number;
-  /** Whose answer this is: the sender's, or the one of the member that the sender probed for us. */
+  /**
+   * The member that answered: the sender, or the member that the sender probed for the receiver.
+   */
   readonly who: SenderTag;
 }
 
--- a/packages/membership/src/MembershipOutbox.ts
+++ b/packages/membership/src/MembershipOutbox.ts
@@ -1,4 +1,7 @@
-/** Builds messages: who sends, what rides along, and how often a change has been passed on. */
+/**
+ * Builds outgoing messages: fills in the common fields, piggybacks queued updates and counts their
+ * sends.
+ */
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { MembershipEffect, MembershipStep } from './MembershipEffects.js';
@@ -16,14 +19,17 @@
 import { getRetransmitLimit } from './MembershipState.js';
 import { getDomainView } from './MembershipViews.js';
 
-/** The part of a message that says what it is; the rest is filled in here. */
+/** A message without its common fields, which `sendMessage` fills in. */
 export type MessageBody = {
   readonly [K in GossipMessage['kind']]: BodyOf<K>;
 }[GossipMessage['kind']];
 
 type BodyOf<K> = Omit<Extract<GossipMessage, { kind: K }>, keyof GossipCommon>;
 
-/** Sends one message, with as many waiting changes as fit. */
+/**
+ * Sends one message with up to `updatesPerMessage` queued updates; `extra` records are added to
+ * them.
+ */
 export function sendMessage(
   state: MembershipState,
   to: ListedInstance,
@@ -49,19 +55,19 @@
   return { id, bootId, incarnation, phase };
 }
 
-/** Where a member is reached: by its record, or by the platform's list. */
+/** Finds the address of an instance in its record or, if it is unknown, in the platform's list. */
 export function findAddress(state: MembershipState, id: InstanceId): ListedInstance | null {
   return state.members.get(id)?.record ?? state.listed.get(id) ?? null;
 }
 
-/** The hash of a domain's view, as a ping carries it. */
+/** Builds the view hash of a domain that a ping carries. */
 export function createViewHash(state: MembershipState, domain: string): ViewHash {
   return { domain, hash: getDomainView(state.members, domain).hash };
 }
 
 const domainHashes = new Map<string, number>();
 
-/** Number by which a domain is named in ages: its hash, cut to 24 bits. */
+/** Key of a domain in encoded ages: its hash truncated to 24 bits. */
 export function hashDomain(domain: string): number {
   const known = domainHashes.get(domain);
   if (known !== undefined) {
@@ -77,11 +83,14 @@
   readonly updates: readonly QueuedUpdate[];
 }
 
-/** The least often sent changes first; each is dropped once the whole fleet should have it. */
+/**
+ * Takes the updates with the fewest sends. Those that reach the retransmit limit are dropped, since
+ * by then the whole fleet should have them.
+ */
 function takeUpdates(state: MembershipState, to: InstanceId): TakenUpdates {
-  const about = getRecordToRefute(state, to);
+  const toRefute = getRecordsToRefute(state, to);
   if (state.updates.length === 0) {
-    return { records: about, updates: state.updates };
+    return { records: toRefute, updates: state.updates };
   }
   const ordered = [...state.updates].sort((a, b) => a.sends - b.sends);
   const taken = ordered.slice(0, state.cfg.updatesPerMessage);
@@ -92,20 +101,23 @@
   const records = taken
     .map(({ id }) => state.members.get(id)?.record)
     .filter((record) => record !== undefined);
-  const fresh = about.filter(({ id }) => !records.some((record) => record.id === id));
+  const notQueued = toRefute.filter(({ id }) => !records.some((record) => record.id === id));
   return {
-    records: [...fresh, ...records],
+    records: [...notQueued, ...records],
     updates: [...ordered.slice(state.cfg.updatesPerMessage), ...kept],
   };
 }
 
-/** A member that we hold to be suspect or dead is told so, that it can object. */
-function getRecordToRefute(state: MembershipState, to: InstanceId): readonly MemberRecord[] {
+/**
+ * Returns the receiver's own record if it is suspect, dead or left locally, so that the receiver
+ * can refute it.
+ */
+function getRecordsToRefute(state: MembershipState, to: InstanceId): readonly MemberRecord[] {
   const record = state.members.get(to)?.record;
   return record && record.health !== Health.Ok ? [record] : [];
 }
 
-/** Our record of a sender, if what it says of itself is older: it has to hear of it. */
+/** Returns the local record of a sender if it is newer than the sender's own tag, or null. */
 export function findNewerRecord(state: MembershipState, tag: SenderTag): MemberRecord | null {
   const record = state.members.get(tag.id)?.record;
   if (!record) {
@@ -117,8 +129,8 @@
 
 function getDomainAges(state: MembershipState, now: Millis): readonly DomainAge[] {
   const ages: DomainAge[] = [];
-  for (const [domain, heardAt] of state.domainSeenAt) {
-    const age = now - heardAt;
+  for (const [domain, seenAt] of state.domainSeenAt) {
+    const age = now - seenAt;
     if (age <= state.cfg.domainTimeout) {
       ages.push({ domainHash: hashDomain(domain), age });
     }
--- a/packages/membership/src/MembershipProbes.ts
+++ b/packages/membership/src/MembershipProbes.ts
@@ -1,6 +1,6 @@
 /**
- * Failure detection: probes of random members, directly and through others; suspicion of those that do
- * not answer, questions to the suspects, and death when a suspicion runs out.
+ * SWIM failure detection: direct and indirect probes of members in shuffled order, suspicion of
+ * members that send no ack, direct pings of suspects, and death when a suspicion times out.
  */
 import { sampleElements } from '@skylarksail/core/CoreRandom';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -14,27 +14,30 @@
 import type { ListedInstance, MembershipState, Probe } from './MembershipState.js';
 import { getDomainView, getKnownDomains } from './MembershipViews.js';
 
-/** Shares of its time after which a suspect is asked directly, by each member that suspects it. */
-const CHECK_SHARES = [0.2, 0.45, 0.7] as const;
-/** Suspects asked in one tick; bounds the cost when many fail at once. */
-const CHECKS_PER_TICK = 4;
-/** Rounds of one probe: direct, then three times direct and through others. */
+/**
+ * Shares of the suspicion timeout after which each member that suspects another pings it directly.
+ */
+const SUSPECT_PING_SHARES = [0.2, 0.45, 0.7] as const;
+/** Suspects pinged in one tick; bounds the cost when many members fail at the same time. */
+const SUSPECT_PINGS_PER_TICK = 4;
+/** Rounds of one probe: one direct ping, then three rounds of a direct ping and ping requests. */
 const PROBE_ROUNDS = 4;
-const RELAYED_LIMIT = 256;
+/** Indirect probes open for other instances; further ping requests are ignored. */
+const MAX_INDIRECT_PROBES = 256;
 
-/** Starts the next probe of a member of our own domain when it is time. */
+/** Probes the next member of this instance's domain once every probe period. */
 export function startProbe(state: MembershipState, ctx: StepContext): MembershipStep {
   if (ctx.now < state.nextProbeAt) {
     return createStep(state);
   }
   const timed = { ...state, nextProbeAt: ctx.now + state.cfg.probePeriod };
-  const { target, probeOrder } = takeTarget(timed, ctx);
+  const { target, probeOrder } = chooseTarget(timed, ctx);
   const next = { ...timed, probeOrder };
   const to = target === null ? null : findAddress(next, target);
   return to === null ? createStep(next) : sendProbe(next, ctx, to, true);
 }
 
-/** Pings an instance and waits for its answer. */
+/** Pings an instance and records the open probe. */
 export function sendProbe(
   state: MembershipState,
   ctx: StepContext,
@@ -47,7 +50,7 @@
   return sendPing(next, ctx, to, seq);
 }
 
-/** Repeats probes that are still without an answer, and ends those whose time is over. */
+/** Starts the next round of open probes, and fails those that timed out. */
 export function continueProbes(state: MembershipState, ctx: StepContext): MembershipStep {
   return runActions(
     state,
@@ -56,38 +59,42 @@
   );
 }
 
-/** Asks suspects directly, and declares those dead whose time is over. */
+/** Pings suspects directly, and declares them dead when their suspicion times out. */
 export function continueSuspicions(state: MembershipState, ctx: StepContext): MembershipStep {
-  let checks = 0;
+  let pings = 0;
   let current = createStep(state);
   for (const [id, suspicion] of state.suspicions) {
     const { since, deadline } = suspicion;
-    const share = CHECK_SHARES[suspicion.pingsSent];
+    const share = SUSPECT_PING_SHARES[suspicion.pingsSent];
     if (ctx.now >= deadline) {
       current = joinSteps(current, declareDead(current.state, id, ctx.now));
     } else if (
       share !== undefined &&
-      checks < CHECKS_PER_TICK &&
+      pings < SUSPECT_PINGS_PER_TICK &&
       ctx.now >= since + share * (deadline - since)
     ) {
-      checks += 1;
-      current = joinSteps(current, checkSuspect(current.state, ctx, id));
+      pings += 1;
+      current = joinSteps(current, pingSuspect(current.state, ctx, id));
     }
   }
   return current;
 }
 
-/** Ends the probe that an answer belongs to. */
-export function endProbe(state: MembershipState, seq: number, who: InstanceId): MembershipState {
-  const probes = state.probes.filter((probe) => probe.seq !== seq || probe.target !== who);
+/** Closes the probe that an ack belongs to; the target no longer counts as disconnected. */
+export function endProbe(
+  state: MembershipState,
+  seq: number,
+  responder: InstanceId,
+): MembershipState {
+  const probes = state.probes.filter((probe) => probe.seq !== seq || probe.target !== responder);
   if (probes.length === state.probes.length) {
     return state;
   }
-  const lost = new Set([...state.lost].filter((id) => id !== who));
+  const lost = new Set([...state.lost].filter((id) => id !== responder));
   return { ...state, probes, lost };
 }
 
-/** Probes a member because another instance, which has no answer from it, asks us to. */
+/** Answers a ping request: pings `target` for `origin`, which has no ack from it. */
 export function sendIndirectProbe(
   state: MembershipState,
   ctx: StepContext,
@@ -96,21 +103,24 @@
   target: InstanceId,
 ): MembershipStep {
   const to = findAddress(state, target);
-  if (!to || state.indirectProbes.length >= RELAYED_LIMIT) {
+  if (!to || state.indirectProbes.length >= MAX_INDIRECT_PROBES) {
     return createStep(state);
   }
   const seq = state.nextSeq;
-  const relayed = [...state.indirectProbes, { seq, origin, originSeq, startedAt: ctx.now }];
-  return sendPing({ ...state, nextSeq: seq + 1, indirectProbes: relayed }, ctx, to, seq);
+  const probes = [...state.indirectProbes, { seq, origin, originSeq, startedAt: ctx.now }];
+  return sendPing({ ...state, nextSeq: seq + 1, indirectProbes: probes }, ctx, to, seq);
 }
 
-/** Forgets probes made for others whose time is over. */
+/** Drops indirect probes that timed out. */
 export function expireIndirectProbes(state: MembershipState, now: Millis): MembershipState {
   const oldest = now - state.cfg.probeTimeout;
   if (!state.indirectProbes.some(({ startedAt }) => startedAt < oldest)) {
     return state;
   }
-  return { ...state, indirectProbes: state.indirectProbes.filter(({ startedAt }) => startedAt >= oldest) };
+  return {
+    ...state,
+    indirectProbes: state.indirectProbes.filter(({ startedAt }) => startedAt >= oldest),
+  };
 }
 
 function continueProbe(state: MembershipState, ctx: StepContext, probe: Probe): MembershipStep {
@@ -119,8 +129,8 @@
   if (age >= cfg.probeTimeout) {
     return failProbe(state, ctx, probe);
   }
-  const due = 1 + Math.floor(age / cfg.tick / 2);
-  if (!probe.suspects || probe.rounds >= Math.min(due, PROBE_ROUNDS)) {
+  const dueRounds = 1 + Math.floor(age / cfg.tick / 2);
+  if (!probe.suspects || probe.rounds >= Math.min(dueRounds, PROBE_ROUNDS)) {
     return createStep(state);
   }
   const to = findAddress(state, probe.target);
@@ -131,10 +141,14 @@
     other === probe ? { ...probe, rounds: probe.rounds + 1 } : other,
   );
   const pinged = sendPing({ ...state, probes }, ctx, to, probe.seq);
-  return joinSteps(pinged, askRelays(pinged.state, ctx, probe));
+  return joinSteps(pinged, requestIndirectProbes(pinged.state, ctx, probe));
 }
 
-function askRelays(state: MembershipState, ctx: StepContext, probe: Probe): MembershipStep {
+function requestIndirectProbes(
+  state: MembershipState,
+  ctx: StepContext,
+  probe: Probe,
+): MembershipStep {
   const others = getDomainView(state.members, state.self.domain).present.filter(
     (id) => id !== state.self.id && id !== probe.target,
   );
@@ -157,7 +171,7 @@
   return applyLocalRecord(next, { ...record, health: Health.Suspect }, ctx.now);
 }
 
-function checkSuspect(state: MembershipState, ctx: StepContext, id: InstanceId): MembershipStep {
+function pingSuspect(state: MembershipState, ctx: StepContext, id: InstanceId): MembershipStep {
   const suspicion = state.suspicions.get(id);
   const to = findAddress(state, id);
   if (!suspicion || !to) {
@@ -192,7 +206,11 @@
   return sendMessage(state, to, body, ctx.now);
 }
 
-/** Which domain's view the receiver is to compare: its own one, or within a domain any. */
+/**
+ * Chooses the domain whose view hash a ping carries. A ping within a domain carries the hash of
+ * that domain or of any known one; a ping to another domain carries that of the sender's or
+ * receiver's.
+ */
 function chooseViewDomain(state: MembershipState, ctx: StepContext, to: ListedInstance): string {
   const own = state.self.domain;
   if (to.domain !== own) {
@@ -207,8 +225,11 @@
   readonly probeOrder: readonly InstanceId[];
 }
 
-/** Each member once a round, in an order of our own, so that the wait for a probe is bounded. */
-function takeTarget(state: MembershipState, ctx: StepContext): Target {
+/**
+ * Takes each member once per round, in an order shuffled by this instance; this bounds the time
+ * between probes.
+ */
+function chooseTarget(state: MembershipState, ctx: StepContext): Target {
   const fromOrder = takeFirstPresent(state, state.probeOrder);
   if (fromOrder.target !== null) {
     return fromOrder;
@@ -219,14 +240,14 @@
 }
 
 function takeFirstPresent(state: MembershipState, order: readonly InstanceId[]): Target {
-  const at = order.findIndex((id) => {
+  const index = order.findIndex((id) => {
     const record = state.members.get(id)?.record;
     return record && isPresent(record) && id !== state.self.id;
   });
-  if (at < 0) {
+  if (index < 0) {
     return { target: null, probeOrder: [] };
   }
-  return { target: order[at] as InstanceId, probeOrder: order.slice(at + 1) };
+  return { target: order[index] as InstanceId, probeOrder: order.slice(index + 1) };
 }
 
 function joinSteps(first: MembershipStep, second: MembershipStep): MembershipStep {
--- a/packages/membership/src/MembershipReceive.ts
+++ b/packages/membership/src/MembershipReceive.ts
@@ -1,4 +1,4 @@
-/** What a message of another instance changes, and how it is answered. */
+/** Handling of received messages: merges what they carry and answers them. */
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
 import { applyRecords } from './MembershipApply.js';
 import type { MembershipStep, StepContext } from './MembershipEffects.js';
@@ -25,7 +25,7 @@
 } from './MembershipSync.js';
 import { getDomainView } from './MembershipViews.js';
 
-/** Takes in one message of another instance and answers it. */
+/** Merges the contents of one received message and answers it. */
 export function stepMessage(
   state: MembershipState,
   ctx: StepContext,
@@ -35,30 +35,33 @@
     return createStep(state);
   }
   return runActions(state, ctx, [
-    (current) => hearSender(current, ctx.now, message),
+    (current) => applySender(current, ctx.now, message),
     (current) => applyRecords(current, message.updates, ctx.now),
     (current) => answerMessage(current, ctx, message),
     (current) => correctSender(current, ctx, message.sender),
   ]);
 }
 
-/** Takes in what the message says of its sender, and of the domains that were heard of. */
-function hearSender(state: MembershipState, now: Millis, message: GossipMessage): MembershipStep {
-  const heard = mergeHeard(state, now, message);
-  const next = heard === state.domainSeenAt ? state : { ...state, domainSeenAt: heard };
-  const record = describeSender(next, message);
+/** Merges the sender's record and the times at which domains were last seen. */
+function applySender(state: MembershipState, now: Millis, message: GossipMessage): MembershipStep {
+  const seenAt = mergeSeenAt(state, now, message);
+  const next = seenAt === state.domainSeenAt ? state : { ...state, domainSeenAt: seenAt };
+  const record = createSenderRecord(next, message);
   return record ? applyRecords(next, [record], now) : createStep(next);
 }
 
-function describeSender(state: MembershipState, message: GossipMessage): MemberRecord | null {
+function createSenderRecord(state: MembershipState, message: GossipMessage): MemberRecord | null {
   if (message.kind === GossipKind.Ping) {
     return message.self;
   }
-  return describeTag(state, message.sender);
+  return createRecordFromTag(state, message.sender);
 }
 
-/** A full record from a tag, if we know the rest from an earlier record or the list. */
-function describeTag(state: MembershipState, tag: SenderTag): MemberRecord | null {
+/**
+ * Completes a tag to a full record, or returns null if neither an earlier record nor the
+ * platform's list has the address.
+ */
+function createRecordFromTag(state: MembershipState, tag: SenderTag): MemberRecord | null {
   const known = findAddress(state, tag.id);
   if (!known) {
     return null;
@@ -79,7 +82,7 @@
     case GossipKind.PingRequest:
       return sendIndirectProbe(state, ctx, from, message.seq, message.target);
     case GossipKind.Ack:
-      return takeAck(state, ctx, message.seq, message.who);
+      return handleAck(state, ctx, message.seq, message.who);
     case GossipKind.Sync:
       return answerSync(state, ctx, message);
     case GossipKind.Records:
@@ -98,41 +101,52 @@
   ]);
 }
 
-function takeAck(
+function handleAck(
   state: MembershipState,
   ctx: StepContext,
   seq: number,
   who: SenderTag,
 ): MembershipStep {
-  const wasAlone = getDomainView(state.members, state.self.domain).present.length <= 2;
+  const knewAtMostOnePeer = getDomainView(state.members, state.self.domain).present.length <= 2;
   const ended = endProbe(state, seq, who.id);
-  const record = describeTag(ended, who);
+  const record = createRecordFromTag(ended, who);
   return runActions(ended, ctx, [
     (current) => (record ? applyRecords(current, [record], ctx.now) : createStep(current)),
-    (current) => passAckOn(current, ctx, seq, who),
+    (current) => forwardAck(current, ctx, seq, who),
     (current) =>
-      wasAlone && ctx.now >= current.nextSyncAt
+      knewAtMostOnePeer && ctx.now >= current.nextSyncAt
         ? startSync(current, ctx, who.id, current.self.domain)
         : createStep(current),
   ]);
 }
 
-function passAckOn(
+function forwardAck(
   state: MembershipState,
   ctx: StepContext,
   seq: number,
   who: SenderTag,
 ): MembershipStep {
-  const relayed = state.indirectProbes.find((one) => one.seq === seq);
-  const to = relayed && findAddress(state, relayed.origin);
-  if (!relayed || !to) {
+  const indirectProbe = state.indirectProbes.find((probe) => probe.seq === seq);
+  const to = indirectProbe && findAddress(state, indirectProbe.origin);
+  if (!indirectProbe || !to) {
     return createStep(state);
   }
-  const next = { ...state, indirectProbes: state.indirectProbes.filter((one) => one !== relayed) };
-  return sendMessage(next, to, { kind: GossipKind.Ack, seq: relayed.originSeq, who }, ctx.now);
+  const next = {
+    ...state,
+    indirectProbes: state.indirectProbes.filter((probe) => probe !== indirectProbe),
+  };
+  return sendMessage(
+    next,
+    to,
+    { kind: GossipKind.Ack, seq: indirectProbe.originSeq, who },
+    ctx.now,
+  );
 }
 
-/** Tells a sender that we hold a newer claim about it: of an earlier start, or of its death. */
+/**
+ * Sends the sender's record back if the local one is newer, e.g. from an earlier start or from its
+ * death, so that the sender can refute it.
+ */
 function correctSender(state: MembershipState, ctx: StepContext, tag: SenderTag): MembershipStep {
   const record = findNewerRecord(state, tag);
   const to = record && findAddress(state, tag.id);
@@ -142,25 +156,25 @@
   return sendMessage(state, to, { kind: GossipKind.Records, wanted: [] }, ctx.now, [record]);
 }
 
-function mergeHeard(
+function mergeSeenAt(
   state: MembershipState,
   now: Millis,
   message: GossipMessage,
 ): ReadonlyMap<DomainId, Millis> {
   const own = state.self.domain;
   const sender = findAddress(state, message.sender.id);
-  const from = message.kind === GossipKind.Ping ? message.self.domain : sender?.domain;
-  const heard = new Map(state.domainSeenAt);
-  if (from !== undefined && from !== own) {
-    heard.set(from, now);
+  const senderDomain = message.kind === GossipKind.Ping ? message.self.domain : sender?.domain;
+  const seenAt = new Map(state.domainSeenAt);
+  if (senderDomain !== undefined && senderDomain !== own) {
+    seenAt.set(senderDomain, now);
   }
-  const others = message.ages.length > 0 ? getOtherDomains(state) : [];
-  for (const domain of others) {
+  const otherDomains = message.ages.length > 0 ? getOtherDomains(state) : [];
+  for (const domain of otherDomains) {
     const hash = hashDomain(domain);
     const told = message.ages.find(({ domainHash }) => domainHash === hash);
     if (told) {
-      heard.set(domain, Math.max(heard.get(domain) ?? -Infinity, now - told.age));
+      seenAt.set(domain, Math.max(seenAt.get(domain) ?? -Infinity, now - told.age));
     }
   }
-  return heard;
+  return seenAt;
 }
--- a/packages/membership/src/MembershipRecords.ts
+++ b/packages/membership/src/MembershipRecords.ts
@@ -1,21 +1,24 @@
-/** A member's record, which of two records is the newer, and the hash by which views are compared. */
+/** Records of members, their precedence, and the hash by which views are compared. */
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import { hash32 } from '@skylarksail/core/CoreHash';
 import type { DomainId, HostPort, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 
-/** What is held of a member's health; of two claims at one incarnation the higher one stands. */
+/**
+ * Health of a member. Of two records with the same incarnation and boot id, the one with the higher
+ * code wins.
+ */
 export const Health = {
   Ok: 0,
   Suspect: 1,
   Dead: 2,
-  /** Ended as planned. */
+  /** Stopped as planned. */
   Left: 3,
 } as const;
 
 export type HealthCode = (typeof Health)[keyof typeof Health];
 
-/** One claim about a member. Only the member itself raises its incarnation. */
+/** One instance's claim about a member. Only the member itself raises its incarnation. */
 export interface MemberRecord {
   readonly id: InstanceId;
   readonly domain: DomainId;
@@ -28,10 +31,10 @@
   readonly health: HealthCode;
 }
 
-/** A record as we hold it. */
+/** A record in the local view. */
 export interface Member {
   readonly record: MemberRecord;
-  /** Hash of the identity, incarnation and phase; suspicion is not part of it. */
+  /** Hash of the id, boot id, incarnation and phase; health is not part of it. */
   readonly hash: number;
   readonly changedAt: Millis;
 }
@@ -40,23 +43,24 @@
   return { record, hash: hashRecord(record), changedAt: now };
 }
 
-/** Neither dead nor gone. */
+/** Whether a member is alive or suspect, i.e. neither dead nor left. */
 export function isPresent(record: MemberRecord): boolean {
   return record.health < Health.Dead;
 }
 
+/** Whether a member is dead or left, i.e. its record is a tombstone. */
 export function isDead(record: MemberRecord): boolean {
   return record.health >= Health.Dead;
 }
 
-/** Whether `a` tells something newer than `b`, both about one id. */
+/** Whether record `a` takes precedence over record `b` of the same member. */
 export function isNewerRecord(a: MemberRecord, b: MemberRecord): boolean {
   if (a.incarnation !== b.incarnation) {
     return a.incarnation > b.incarnation;
   }
   if (a.bootId !== b.bootId) {
-    // Two starts that chose the same incarnation: any rule will do if all follow it. The one that
-    // loses hears of it and raises its incarnation.
+    // Two starts chose the same incarnation. Any rule works if all instances follow it: the start
+    // that loses receives the other's record and raises its incarnation.
     return a.bootId > b.bootId;
   }
   if (a.health !== b.health) {
@@ -65,7 +69,7 @@
   return a.phase === LifeState.Leaving && b.phase === LifeState.Live;
 }
 
-/** The hash by which two instances compare what they hold of a member. */
+/** Hash by which two instances compare their records of a member. */
 export function hashRecord(record: MemberRecord): number {
   return hash32(`${record.id}|${record.bootId}|${record.incarnation}|${record.phase}`);
 }
--- a/packages/membership/src/MembershipService.ts
+++ b/packages/membership/src/MembershipService.ts
@@ -1,6 +1,6 @@
 /**
- * Membership as the daemon uses it: the pure machine with timers, topics and bytes around it. Sockets stay
- * outside; `send` and `receive` carry whole envelopes.
+ * Runs the pure membership state machine with timers, topics and message encoding. It opens no sockets:
+ * `send` gets encoded envelopes, `receive` takes the payloads of decoded ones.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -30,39 +30,38 @@
 import { countPresent, isListReader } from './MembershipViews.js';
 import { readBytes } from './MembershipWire.js';
 
-/** What membership needs from outside. */
 export interface MembershipDeps {
   readonly self: MembershipSelf;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Sends an envelope's bytes; it may be lost without a word. */
+  /** Sends an encoded envelope. Delivery is best effort, and losses are not reported. */
   readonly send: (to: ListedInstance, bytes: Uint8Array) => void;
   readonly cfg?: Partial<MembershipConfig>;
 }
 
-/** A change that listeners hear of. */
+/** A change that listeners are notified of. */
 export type MembershipChange =
   | { readonly kind: 'member'; readonly change: MemberChange }
   | { readonly kind: 'domain'; readonly domain: DomainId; readonly reachable: boolean };
 
-/** Counters since the start. */
+/** Counters since the process started. */
 export interface MembershipCounters {
   readonly messagesSent: number;
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly bytesReceived: number;
-  /** Messages, or payloads of topics, that made no sense. */
+  /** Messages and topic payloads that could not be decoded or merged. */
   readonly garbage: number;
 }
 
 export interface Membership {
-  /** Takes in the payload of an envelope of kind Gossip. Garbage is counted and dropped. */
+  /** Processes the payload of an envelope of kind Gossip. An invalid one is counted and dropped. */
   receive(payload: unknown): void;
-  /** Takes in a reading of the platform's instance list: entry instances only. */
+  /** Applies a snapshot of the platform's instance list, which must contain entry instances only. */
   applyInstanceList(instances: readonly ListedInstance[]): void;
-  /** When to read the platform's list next, from now; jitter it. */
+  /** Returns the delay until the platform's list should be read next; callers add jitter. */
   getListPeriod(): Millis;
-  /** A connection to the instance was refused or broke. */
+  /** Reports that a connection to the instance was refused or broken. */
   reportConnectionLost(id: InstanceId): void;
   getLiveInstances(domain?: DomainId): readonly LiveInstance[];
   getInstance(id: InstanceId): LiveInstance | null;
@@ -71,13 +70,13 @@
   getCounters(): MembershipCounters;
   registerListener(listener: (change: MembershipChange) => void): Unregister;
   registerTopic(topic: GossipTopic): Unregister;
-  /** A planned stop begins: duties go to others at once, messages are still answered. */
+  /** Begins a planned stop: duties move to other instances at once, messages are still answered. */
   startLeaving(): void;
-  /** The planned stop ends; nothing is sent after this. */
+  /** Completes the planned stop; nothing is sent afterwards. */
   stop(): void;
 }
 
-/** Creates membership and starts its ticks. */
+/** Creates membership and starts its periodic ticks. */
 export function createMembership(deps: MembershipDeps): Membership {
   const { timers, random } = deps;
   const cfg = { ...DEFAULT_MEMBERSHIP_CONFIG, ...deps.cfg };
--- a/packages/membership/src/MembershipState.ts
+++ b/packages/membership/src/MembershipState.ts
@@ -1,6 +1,6 @@
 /**
- * What one instance knows of the others: its types, its settings, its first value and its reads. Only
- * MembershipMachine makes new states.
+ * Membership state of one instance: its types, configuration, initial value and queries. Only the
+ * steps of MembershipMachine create later states.
  */
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import { LifeState } from '@skylarksail/core/CoreConstants';
@@ -9,42 +9,60 @@
 import type { Member, MemberRecord } from './MembershipRecords.js';
 import { countPresent, getDomainView } from './MembershipViews.js';
 
-/** Rates and limits of membership; times in milliseconds. */
+/** Timing, fan-out and limits of the membership protocol. Times are in milliseconds. */
 export interface MembershipConfig {
+  /** Period of the timer that drives the state machine. */
   readonly tick: Millis;
   /** Time between the starts of two probes. */
   readonly probePeriod: Millis;
-  /** Time after which a probe without an answer has failed. */
+  /** A probe fails if no ack arrives within this time. */
   readonly probeTimeout: Millis;
-  /** Instances asked, each time, to probe on our behalf. */
+  /** Members that are sent a ping request in each indirect round of a probe. */
   readonly indirectProbers: number;
+  /** Lower bound of the suspicion timeout. */
   readonly suspicionMin: Millis;
-  /** Suspicion lasts this long times the decimal logarithm of the domain's size. */
+  /**
+   * The suspicion timeout is this time multiplied by the decimal logarithm of the domain's size.
+   */
   readonly suspicionScale: Millis;
-  /** The same where a connection broke too: a paused process keeps its connections open. */
+  /**
+   * Suspicion timeout of a member whose connection also broke. It can be shorter, since a process
+   * that is only paused keeps its connections open.
+   */
   readonly lostSuspicion: Millis;
-  /** Updates in one message. */
+  /** Queued updates piggybacked on one message. */
   readonly updatesPerMessage: number;
-  /** A change is sent this often times the binary logarithm of the fleet's known size. */
+  /** Each change is sent this many times the binary logarithm of the number of present members. */
   readonly retransmitScale: number;
-  /** Time between two messages of a contact to another domain. */
+  /** Time between two pings from a contact to another domain. */
   readonly contactPeriod: Millis;
-  /** Instances of a domain that speak with each other domain. */
+  /** Contacts of a domain for each other domain, i.e. members that ping that domain. */
   readonly contacts: number;
-  /** A domain not heard of for this long counts as cut off. */
+  /** A domain counts as unreachable if it was not seen for this long. */
   readonly domainTimeout: Millis;
-  /** Time between two tries to reach an instance that is listed, or was declared dead. */
+  /**
+   * Time between two attempts to reach a listed but unknown instance, or a member that was declared
+   * dead.
+   */
   readonly reconnectPeriod: Millis;
-  /** Least time between two comparisons of whole views that we start. */
+  /** Minimum time between two anti-entropy syncs started by this instance. */
   readonly syncPeriod: Millis;
-  /** How long a dead instance is remembered, so that old news cannot bring it back. */
+  /**
+   * How long a tombstone of a dead member is kept, so that delayed gossip cannot bring the member
+   * back.
+   */
   readonly tombstoneTime: Millis;
+  /** Maximum number of records sent in answer to one sync. */
   readonly recordsPerSync: number;
-  /** Instances of a domain that read the platform's list often. */
+  /** Instances of a domain that read the platform's instance list every `listPeriod`. */
   readonly listReaders: number;
   readonly listPeriod: Millis;
-  /** Least period of the others; with the fleet's size it grows, so that their calls together do not. */
+  /** Minimum list period of all other instances. */
   readonly slowListPeriod: Millis;
+  /**
+   * Their list period per present member, so that the total rate of their calls does not grow with
+   * the fleet.
+   */
   readonly slowListPerInstance: Millis;
 }
 
@@ -71,7 +89,7 @@
   slowListPerInstance: 450,
 };
 
-/** An instance as the platform's list tells of it. */
+/** An instance as it appears in the platform's instance list. */
 export interface ListedInstance {
   readonly id: InstanceId;
   readonly domain: DomainId;
@@ -80,18 +98,21 @@
   readonly peerPort: number;
 }
 
-/** A probe without an answer so far. */
+/** A probe that waits for an ack. */
 export interface Probe {
   readonly seq: number;
   readonly target: InstanceId;
   readonly startedAt: Millis;
-  /** Rounds of messages sent for it. */
+  /** Rounds of pings sent so far. */
   readonly rounds: number;
-  /** Probes into other domains are never grounds for suspicion. */
+  /**
+   * Whether a timeout makes the target suspect. False for probes of other domains and of unknown or
+   * dead instances; these send only one ping.
+   */
   readonly suspects: boolean;
 }
 
-/** A probe that we make for another instance. */
+/** An indirect probe that this instance makes for `origin`. */
 export interface IndirectProbe {
   readonly seq: number;
   readonly origin: InstanceId;
@@ -99,40 +120,48 @@
   readonly startedAt: Millis;
 }
 
-/** A member that did not answer, and has until `deadline` to object. */
+/**
+ * Suspicion of a member that sent no ack; the member is declared dead at `deadline` unless it
+ * refutes.
+ */
 export interface Suspicion {
   readonly since: Millis;
   readonly deadline: Millis;
-  /** Direct questions put to the suspect so far. */
+  /** Pings sent directly to the suspect so far. */
   readonly pingsSent: number;
 }
 
-/** A change that is still passed on with other messages. */
+/** A changed record that is still piggybacked on outgoing messages. */
 export interface QueuedUpdate {
   readonly id: InstanceId;
+  /** Messages that carried it so far; receiving the same record again also adds to the count. */
   readonly sends: number;
 }
 
 export interface MembershipState {
   readonly cfg: MembershipConfig;
   readonly self: MemberRecord;
-  /** All that are or were known, ourselves and the dead included. */
+  /** All known members, including this instance and the tombstones of dead ones. */
   readonly members: ReadonlyMap<InstanceId, Member>;
+  /** The platform's instance list as last read, without this instance. */
   readonly listed: ReadonlyMap<InstanceId, ListedInstance>;
   readonly listedDomains: ReadonlySet<DomainId>;
-  /** Those of our own domain. */
+  /** Listed instances of this instance's domain. */
   readonly listedInDomain: readonly ListedInstance[];
   readonly suspicions: ReadonlyMap<InstanceId, Suspicion>;
-  /** Members to which a connection broke or was refused, until they answer again. */
+  /** Members to which a connection broke or was refused, until they ack a probe. */
   readonly lost: ReadonlySet<InstanceId>;
+  /** Changes to disseminate. */
   readonly updates: readonly QueuedUpdate[];
   readonly probes: readonly Probe[];
+  /** Probes made for other instances. */
   readonly indirectProbes: readonly IndirectProbe[];
-  /** Members still to be probed in this round, in random order. */
+  /** Members still to be probed in this round, in shuffled order. */
   readonly probeOrder: readonly InstanceId[];
-  /** When each other domain was last heard of, directly or by hearsay. */
+  /** When each other domain was last seen, either directly or by a peer that reported it. */
   readonly domainSeenAt: ReadonlyMap<DomainId, Millis>;
   readonly reachable: ReadonlySet<DomainId>;
+  /** Sequence number of the next ping. */
   readonly nextSeq: number;
   readonly startedAt: Millis;
   readonly lastTick: Millis;
@@ -143,15 +172,18 @@
   readonly viewChangedAt: Millis;
 }
 
-/** What an instance says of itself when it starts. */
+/** Identity of an instance at its start. */
 export interface MembershipSelf extends ListedInstance {
-  /** Differs between two starts of the process at one address; a whole number below 2^32. */
+  /** Differs between two starts of the process at one address; an integer below 2^32. */
   readonly bootId: number;
-  /** Seconds of the wall clock at the start will do; if it is too low, peers say so. */
+  /**
+   * Initial incarnation, e.g. the wall clock in seconds. If peers know a higher one, they report it
+   * and this instance raises its own.
+   */
   readonly incarnation: number;
 }
 
-/** The state of an instance that has just started and knows nobody. */
+/** Creates the state of an instance that has just started and knows no other member. */
 export function createMembershipState(
   me: MembershipSelf,
   now: Millis,
@@ -194,7 +226,7 @@
   };
 }
 
-/** A live or leaving instance, as other parts see it. */
+/** A present (live or leaving) instance, as other modules see it. */
 export interface LiveInstance extends ListedInstance {
   readonly bootId: number;
   readonly state: LifeStateName;
@@ -202,8 +234,9 @@
 }
 
 /**
- * The instances that can be given work, ourselves included, in order of id: neither dead nor leaving,
- * and in a domain that is heard of. A suspect counts until it is declared dead.
+ * Returns the instances that can be given work, sorted by id and including this one: those that are
+ * neither dead nor leaving and whose domain is reachable. A suspect is included until it is
+ * declared dead.
  */
 export function getLiveInstances(
   state: MembershipState,
@@ -214,7 +247,7 @@
   );
 }
 
-/** The same, with those that are leaving and those of domains that are cut off. */
+/** Like `getLiveInstances`, but includes leaving instances and those of unreachable domains. */
 export function getPresentInstances(
   state: MembershipState,
   domain?: DomainId,
@@ -228,18 +261,21 @@
   return present.sort((a, b) => (a.id < b.id ? -1 : 1));
 }
 
-/** One instance, if it is neither dead nor unknown. */
+/** Returns an instance, or null if it is unknown, dead or left. */
 export function getInstance(state: MembershipState, id: InstanceId): LiveInstance | null {
   const member = state.members.get(id);
   return member && isPresent(member.record) ? toLiveInstance(member.record) : null;
 }
 
-/** Whether a domain was heard of of late; always true of our own. */
+/** Whether a domain was seen within `domainTimeout`; always true for this instance's domain. */
 export function isDomainReachable(state: MembershipState, domain: DomainId): boolean {
   return state.reachable.has(domain);
 }
 
-/** How long a suspect has to object, in a domain of the present size. */
+/**
+ * Returns the time that a suspect has to refute. It grows with the size of the domain, and is fixed
+ * for a member whose connection broke.
+ */
 export function getSuspicionTime(state: MembershipState, id: InstanceId): Millis {
   if (state.lost.has(id)) {
     return state.cfg.lostSuspicion;
@@ -248,7 +284,9 @@
   return Math.max(state.cfg.suspicionMin, state.cfg.suspicionScale * Math.log10(size));
 }
 
-/** How often a change is passed on by each instance. */
+/**
+ * Returns how often each instance sends a change; it grows with the logarithm of the fleet's size.
+ */
 export function getRetransmitLimit(state: MembershipState): number {
   const size = countPresent(state.members);
   return Math.ceil(state.cfg.retransmitScale * Math.log2(size + 1)) + 1;
--- a/packages/membership/src/MembershipSync.ts
+++ b/packages/membership/src/MembershipSync.ts
@@ -1,4 +1,8 @@
-/** Repair of what gossip missed: two instances compare the view of a domain and exchange what differs. */
+/**
+ * Anti-entropy and reconnection. Two instances compare their views of a domain and exchange the
+ * records that differ. Contacts probe other domains. Listed instances that are unknown or dead are
+ * probed, and so are members that died recently.
+ */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { DomainId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { MembershipStep, StepContext } from './MembershipEffects.js';
@@ -12,16 +16,25 @@
 import { getContacts, getDomainView, getKnownDomains } from './MembershipViews.js';
 import { sendProbe } from './MembershipProbes.js';
 
-/** A view that changed this recently may differ only because the change is still under way. */
+/**
+ * A view that changed within this time may differ only because the change is still being
+ * disseminated.
+ */
 const SETTLE_TIME: Millis = 3000;
-/** A view that never settles is compared all the same, this long after the last time. */
+/** A view that keeps changing is synced anyway once a sync has been due for this long. */
 const UNSETTLED_PERIOD: Millis = 8000;
-/** A new instance compares views without waiting: it lacks most of them. */
-const NEW_TIME: Millis = 20_000;
-/** Listed instances asked at once by an instance that knows nobody. */
-const FIRST_CONTACTS = 3;
+/**
+ * For this long after its start an instance syncs without waiting for its view to settle: it lacks
+ * most records.
+ */
+const STARTUP_TIME: Millis = 20_000;
+/** Instances probed in parallel by an instance that knows no other member of its domain. */
+const JOIN_PROBES = 3;
 
-/** Compares a view hash that came with a ping; if it differs, sends our view for the other to compare. */
+/**
+ * Compares the view hash of a ping with the local one; if they differ, starts a sync with the
+ * sender.
+ */
 export function compareView(
   state: MembershipState,
   ctx: StepContext,
@@ -35,7 +48,7 @@
   return startSync(state, ctx, from, view.domain);
 }
 
-/** Sends the hashes of our view of a domain. */
+/** Starts a sync: sends the hashes of the local view of a domain. */
 export function startSync(
   state: MembershipState,
   ctx: StepContext,
@@ -51,7 +64,7 @@
   return sendMessage(next, address, { kind: GossipKind.Sync, domain, hashes }, ctx.now);
 }
 
-/** Answers a view with the records that its sender lacks, and asks for those that we lack. */
+/** Answers a sync with the records that its sender lacks, and requests those missing locally. */
 export function answerSync(
   state: MembershipState,
   ctx: StepContext,
@@ -62,13 +75,13 @@
     return createStep(state);
   }
   const { byHash } = getDomainView(state.members, message.domain);
-  const theirs = new Set(message.hashes);
-  const lacking = [...byHash].filter(([hash]) => !theirs.has(hash)).map(([, id]) => id);
+  const theirHashes = new Set(message.hashes);
+  const missingIds = [...byHash].filter(([hash]) => !theirHashes.has(hash)).map(([, id]) => id);
   const wanted = message.hashes.filter((hash) => !byHash.has(hash));
-  return sendRecords(state, ctx, address, lacking, wanted);
+  return sendRecords(state, ctx, address, missingIds, wanted);
 }
 
-/** Sends the records that another instance asked for by their hashes. */
+/** Sends the records that another instance requested by their hashes. */
 export function sendWantedRecords(
   state: MembershipState,
   ctx: StepContext,
@@ -89,7 +102,7 @@
   return ids.length === 0 ? createStep(state) : sendRecords(state, ctx, address, ids, []);
 }
 
-/** Speaks with one instance of each domain that it is our part to speak with. */
+/** Probes one instance of each other domain for which this instance is a contact. */
 export function contactDomains(state: MembershipState, ctx: StepContext): MembershipStep {
   if (ctx.now < state.nextContactAt) {
     return createStep(state);
@@ -106,17 +119,17 @@
 }
 
 /**
- * Tries to reach an instance that is listed but unknown, or was declared dead. After a partition both
- * sides hold each other dead and would otherwise never speak again.
+ * Probes an instance that is listed but unknown, or that was declared dead. After a partition each
+ * side has the other as dead, and without these probes they would never exchange messages again.
  */
 export function reconnectMembers(state: MembershipState, ctx: StepContext): MembershipStep {
   if (ctx.now < state.nextReconnectAt) {
     return createStep(state);
   }
   const next = { ...state, nextReconnectAt: ctx.now + state.cfg.reconnectPeriod };
-  const candidates = getRepairCandidates(next, ctx.now);
+  const candidates = getReconnectCandidates(next, ctx.now);
   const isAlone = getDomainView(next.members, next.self.domain).present.length <= 1;
-  const tries = Math.min(candidates.length, isAlone ? FIRST_CONTACTS : 1);
+  const tries = Math.min(candidates.length, isAlone ? JOIN_PROBES : 1);
   let step = createStep(next);
   for (let i = 0; i < tries; i++) {
     const target = candidates[ctx.random.nextInt(candidates.length)];
@@ -151,7 +164,7 @@
 function isSyncDue(state: MembershipState, now: Millis): boolean {
   const isSettled = now - state.viewChangedAt >= SETTLE_TIME;
   const isOverdue = now - state.nextSyncAt >= UNSETTLED_PERIOD;
-  const isNew = now - state.startedAt < NEW_TIME;
+  const isNew = now - state.startedAt < STARTUP_TIME;
   return now >= state.nextSyncAt && (isSettled || isOverdue || isNew);
 }
 
@@ -160,7 +173,10 @@
   return getContacts(members, self.domain, domain, cfg.contacts).includes(self.id);
 }
 
-/** Any present member of the domain; while it is cut off, anything that the list names there. */
+/**
+ * Chooses a random present member of a domain. If none is present or the domain is unreachable, the
+ * domain's listed instances are candidates too.
+ */
 function chooseContact(
   state: MembershipState,
   ctx: StepContext,
@@ -168,22 +184,26 @@
 ): ListedInstance | null {
   const { present } = getDomainView(state.members, domain);
   const useList = present.length === 0 || !state.reachable.has(domain);
-  const listed = useList ? [...state.listed.values()].filter((one) => one.domain === domain) : [];
+  const listed = useList
+    ? [...state.listed.values()].filter((instance) => instance.domain === domain)
+    : [];
   const choices = [...present.map((id) => findAddress(state, id)), ...listed];
   return choices[ctx.random.nextInt(Math.max(1, choices.length))] ?? null;
 }
 
-/** All domains but ours that the list or the members tell of. */
+/**
+ * Returns all other domains that occur among the members or in the platform's list.
+ */
 export function getOtherDomains(state: MembershipState): readonly DomainId[] {
   const known = getKnownDomains(state.members);
   const listed = [...state.listedDomains].filter((domain) => !known.includes(domain));
   return [...known, ...listed].filter((domain) => domain !== state.self.domain);
 }
 
-/** Time after its death during which a member is tried again, if the list does not name it. */
-const RETRY_DEAD_TIME: Millis = 2 * 3_600_000;
+/** A dead member that the platform's list lacks is probed again for this long after its death. */
+const DEAD_RETRY_TIME: Millis = 2 * 3_600_000;
 
-function getRepairCandidates(state: MembershipState, now: Millis): readonly ListedInstance[] {
+function getReconnectCandidates(state: MembershipState, now: Millis): readonly ListedInstance[] {
   const { self, members } = state;
   const listed = state.listedInDomain.filter(({ id }) => {
     const known = members.get(id)?.record;
@@ -192,14 +212,14 @@
   const candidates = [...listed];
   for (const id of getDomainView(members, self.domain).gone) {
     const member = members.get(id);
-    if (member && isWorthTrying(member, now) && !state.listed.has(id)) {
+    if (member && isRetried(member, now) && !state.listed.has(id)) {
       candidates.push(member.record);
     }
   }
   return candidates;
 }
 
-function isWorthTrying({ record, changedAt }: Member, now: Millis): boolean {
+function isRetried({ record, changedAt }: Member, now: Millis): boolean {
   const isUnplanned = record.health === Health.Dead && record.phase === LifeState.Live;
-  return isUnplanned && now - changedAt < RETRY_DEAD_TIME;
+  return isUnplanned && now - changedAt < DEAD_RETRY_TIME;
 }
--- a/packages/membership/src/MembershipTopics.ts
+++ b/packages/membership/src/MembershipTopics.ts
@@ -1,13 +1,13 @@
 /**
- * Small digests of other parts that ride on the messages of membership: each topic has a number, a byte
- * budget, a function that gives bytes to send and one that takes them in.
+ * Piggybacks small digests of other modules on membership messages. Each topic has a number, a byte
+ * budget, a function that collects bytes to send and one that merges received bytes.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { InstanceId, Millis, Unregister } from '@skylarksail/core/CoreTypes';
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { TopicPayload } from './MembershipMessages.js';
 
-/** Numbers of the topics. They are on the wire and are never given a new meaning. */
+/** Numbers of the topics on the wire; a number is never reused for another topic. */
 export const TopicNumber = {
   Load: 1,
   Cache: 2,
@@ -18,63 +18,62 @@
 
 export type TopicCode = (typeof TopicNumber)[keyof typeof TopicNumber] | number;
 
-/** A digest that rides on gossip. Bytes may be lost, repeated and late. */
+/** A kind of digest that is piggybacked on gossip. Its bytes may be lost, repeated or late. */
 export interface GossipTopic {
   readonly topic: TopicCode;
-  /** Bytes a second that it may send, on average; what is saved is kept for a few seconds. */
+  /** Average rate at which it may send; unused budget accumulates for a few seconds. */
   readonly bytesPerSecond: number;
-  /** Most bytes in one message. */
+  /** Maximum size of its payload in one message. */
   readonly bytesPerMessage: number;
   /** Whether it also goes to instances of other domains. */
   readonly crossesDomains: boolean;
-  /** At most `room` bytes to send to `to` now, or null. */
-  collect(room: number, to: InstanceId, now: Millis): Uint8Array | null;
-  /** Takes in bytes of another instance; throwing drops and counts them. */
+  /** Returns at most `maxBytes` to send to `to` now, or null. */
+  collect(maxBytes: number, to: InstanceId, now: Millis): Uint8Array | null;
+  /** Merges the bytes of another instance; if it throws, they are dropped and counted. */
   merge(bytes: Uint8Array, from: InstanceId, now: Millis): void;
 }
 
-/** Topics and their budgets. */
+/** The registered topics and their byte budgets. */
 export interface TopicTable {
   registerTopic(topic: GossipTopic): Unregister;
   collectPayloads(to: InstanceId, crossesDomains: boolean, now: Millis): readonly TopicPayload[];
-  /** Gives the number of payloads that could not be taken in. */
+  /** Returns the number of payloads that could not be merged. */
   mergePayloads(payloads: readonly TopicPayload[], from: InstanceId, now: Millis): number;
 }
 
 interface TopicBudget {
   readonly topic: GossipTopic;
   readonly tokens: number;
-  readonly filledAt: Millis;
+  readonly refilledAt: Millis;
 }
 
-/** Budget that an idle topic may save up, in seconds of its rate. */
-const SAVED_SECONDS = 4;
-/** Bytes around a payload: its number, its length and the pair. */
+/** Maximum budget that an idle topic accumulates, in seconds of its rate. */
+const BURST_SECONDS = 4;
+/** Encoding overhead of a payload: the topic number, the length and the array that holds the pair. */
 const PAYLOAD_OVERHEAD = 4;
 
-/** Creates an empty table of topics. */
 export function createTopicTable(): TopicTable {
   const budgets = new Map<number, TopicBudget>();
 
-  function collectOne(budget: TopicBudget, to: InstanceId, now: Millis): TopicPayload | null {
-    const { topic, filledAt } = budget;
-    const earned = ((now - filledAt) * topic.bytesPerSecond) / MILLIS_PER_SECOND;
-    const tokens = Math.min(topic.bytesPerSecond * SAVED_SECONDS, budget.tokens + earned);
-    const room = Math.floor(Math.min(topic.bytesPerMessage, tokens - PAYLOAD_OVERHEAD));
-    const bytes = room > 0 ? topic.collect(room, to, now) : null;
+  function collectPayload(budget: TopicBudget, to: InstanceId, now: Millis): TopicPayload | null {
+    const { topic, refilledAt } = budget;
+    const refill = ((now - refilledAt) * topic.bytesPerSecond) / MILLIS_PER_SECOND;
+    const tokens = Math.min(topic.bytesPerSecond * BURST_SECONDS, budget.tokens + refill);
+    const maxBytes = Math.floor(Math.min(topic.bytesPerMessage, tokens - PAYLOAD_OVERHEAD));
+    const bytes = maxBytes > 0 ? topic.collect(maxBytes, to, now) : null;
     const spent = bytes && bytes.length > 0 ? bytes.length + PAYLOAD_OVERHEAD : 0;
-    budgets.set(topic.topic, { topic, tokens: tokens - spent, filledAt: now });
+    budgets.set(topic.topic, { topic, tokens: tokens - spent, refilledAt: now });
     if (!bytes || spent === 0) {
       return null;
     }
-    invariant(bytes.length <= room, `topic ${topic.topic} keeps to its room`);
+    invariant(bytes.length <= maxBytes, `topic ${topic.topic} stays within its byte limit`);
     return { topic: topic.topic, bytes };
   }
 
   return {
     registerTopic(topic) {
       invariant(!budgets.has(topic.topic), `topic ${topic.topic} is registered once`);
-      budgets.set(topic.topic, { topic, tokens: topic.bytesPerMessage, filledAt: 0 });
+      budgets.set(topic.topic, { topic, tokens: topic.bytesPerMessage, refilledAt: 0 });
       return () => {
         budgets.delete(topic.topic);
       };
@@ -83,7 +82,7 @@
       const payloads: TopicPayload[] = [];
       for (const budget of budgets.values()) {
         const payload =
-          crossesDomains && !budget.topic.crossesDomains ? null : collectOne(budget, to, now);
+          crossesDomains && !budget.topic.crossesDomains ? null : collectPayload(budget, to, now);
         if (payload) {
           payloads.push(payload);
         }
--- a/packages/membership/src/MembershipViews.ts
+++ b/packages/membership/src/MembershipViews.ts
@@ -1,6 +1,7 @@
 /**
- * What follows from the members alone: who is in a domain, the hash of a domain's view, who speaks with
- * another domain. Kept beside each table of members, which changes seldom and is read at every message.
+ * Views derived from the members alone: the members of a domain, the hash of a domain's view, and
+ * the contacts for other domains. They are cached per member map, which changes rarely and is read
+ * for every message.
  */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import { selectOwners } from '@skylarksail/core/CoreHash';
@@ -13,16 +14,17 @@
 interface DomainView {
   readonly present: readonly InstanceId[];
   readonly live: readonly InstanceId[];
-  /** Those that are dead or left and still remembered. */
+  /** Members that are dead or left and whose tombstone is still kept. */
   readonly gone: readonly InstanceId[];
+  /** Hash of all present members' records. */
   readonly hash: number;
-  /** Hash of each present member's record, to its id. */
+  /** Ids of the present members by the hash of their record. */
   readonly byHash: ReadonlyMap<number, InstanceId>;
 }
 
 interface MembersView {
   readonly domains: ReadonlyMap<DomainId, DomainView>;
-  readonly names: readonly DomainId[];
+  readonly domainIds: readonly DomainId[];
   readonly presentCount: number;
   readonly contacts: Map<string, readonly InstanceId[]>;
 }
@@ -30,21 +32,21 @@
 const EMPTY_VIEW: DomainView = { present: [], live: [], gone: [], hash: 0, byHash: new Map() };
 const views = new WeakMap<Members, MembersView>();
 
-/** One domain's members, as this table has them. */
+/** Returns the view of one domain; empty if the domain is unknown. */
 export function getDomainView(members: Members, domain: DomainId): DomainView {
   return getView(members).domains.get(domain) ?? EMPTY_VIEW;
 }
 
-/** Domains of which a member is or was known, in order. */
+/** Returns the domains that have a member or a tombstone, sorted. */
 export function getKnownDomains(members: Members): readonly DomainId[] {
-  return getView(members).names;
+  return getView(members).domainIds;
 }
 
 export function countPresent(members: Members): number {
   return getView(members).presentCount;
 }
 
-/** The members of `own` whose part it is to speak with `other`. */
+/** Returns the members of `own` that are its contacts for `other`. */
 export function getContacts(
   members: Members,
   own: DomainId,
@@ -86,7 +88,7 @@
   const counts = [...domains.values()].map(({ present }) => present.length);
   return {
     domains,
-    names: [...domains.keys()].sort(),
+    domainIds: [...domains.keys()].sort(),
     presentCount: counts.reduce((sum, count) => sum + count, 0),
     contacts: new Map(),
   };
@@ -100,13 +102,15 @@
     present: present.map(({ record }) => record.id),
     live: live.map(({ record }) => record.id),
     gone: gone.map(({ record }) => record.id),
-    // A sum does not hang on the order, and changes with each record.
+    // A sum does not depend on the order of the records and changes with each of them.
     hash: present.reduce((sum, { hash }) => (sum + hash) % 2 ** 32, 0),
     byHash: new Map(present.map(({ hash, record }) => [hash, record.id])),
   };
 }
 
-/** Whether it is among the `count` instances of its domain that read the platform's list often. */
+/**
+ * Whether `self` is one of the `count` instances of its domain that read the platform's list often.
+ */
 export function isListReader(
   members: Members,
   self: InstanceId,
--- a/packages/membership/src/MembershipWire.ts
+++ b/packages/membership/src/MembershipWire.ts
@@ -1,39 +1,42 @@
-/** Checked reading of decoded values: any surprise throws WireError, and the message is dropped whole. */
+/**
+ * Validation of decoded values. An invalid value throws WireError, and the caller drops the whole
+ * message.
+ */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
 import { MembershipError } from './MembershipErrors.js';
 
-/** Bytes that do not decode to what they should. */
+/** Received bytes are malformed. */
 export const WireError = MembershipError.subclass('WireError');
 
-const MAX_TEXT = 256;
+const MAX_TEXT_LENGTH = 256;
 const MAX_ITEMS = 4096;
 
 export function readArray(value: unknown, minLength = 0): readonly unknown[] {
   if (!Array.isArray(value) || value.length < minLength || value.length > MAX_ITEMS) {
-    throw new WireError('not an array of a fit length');
+    throw new WireError('expected an array of valid length');
   }
   return value;
 }
 
 export function readText(value: unknown): string {
-  if (typeof value !== 'string' || value.length > MAX_TEXT) {
-    throw new WireError('not a short text');
+  if (typeof value !== 'string' || value.length > MAX_TEXT_LENGTH) {
+    throw new WireError('expected a string of valid length');
   }
   return value;
 }
 
-/** A whole number from 0 up to `limit`, included. */
+/** Reads an integer from 0 to `limit` inclusive. */
 export function readUnsignedInteger(value: unknown, limit = Number.MAX_SAFE_INTEGER): number {
   if (typeof value !== 'number' || !Number.isInteger(value) || value < 0 || value > limit) {
-    throw new WireError('not a whole number in range');
+    throw new WireError('expected an integer in range');
   }
   return value;
 }
 
 export function readBytes(value: unknown): Uint8Array {
   if (!(value instanceof Uint8Array)) {
-    throw new WireError('not bytes');
+    throw new WireError('expected a byte array');
   }
   return value;
 }
--- a/packages/membership/src/VirtualFleet.ts
+++ b/packages/membership/src/VirtualFleet.ts
@@ -1,6 +1,7 @@
 /**
- * Many instances in one process over virtual time, with a network between them that loses, delays and
- * cuts. For tests and benches: the membership inside is the real one, and so are its bytes.
+ * Simulates many instances in one process on virtual time, with a network that loses and delays messages
+ * and can be partitioned. For tests and benchmarks: the membership code and its encoded messages are the
+ * real ones.
  */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { createRandom, jitter } from '@skylarksail/core/CoreRandom';
@@ -17,13 +18,13 @@
 
 export interface VirtualFleetOptions {
   readonly seed: number;
-  /** Instances of each domain. */
+  /** Number of instances in each domain. */
   readonly domainSizes: readonly number[];
   readonly cfg?: Partial<MembershipConfig>;
   /** Share of messages that are lost. */
   readonly loss?: number;
   readonly latency?: Millis;
-  /** How far the platform's list lags. */
+  /** Staleness of the platform's list. */
   readonly listLag?: Millis;
   readonly onChange?: (observer: InstanceId, change: MembershipChange, now: Millis) => void;
   /** Called for each new instance, to register topics. */
@@ -42,26 +43,26 @@
   advance(time: Millis): void;
   getInstances(): readonly VirtualInstance[];
   get(id: InstanceId): VirtualInstance;
-  /** Lets each instance know of all others at once, so that a large fleet need not find itself first. */
+  /** Makes all instances known to each other at once, so that a large fleet skips discovery. */
   convergeViews(): void;
-  /** Starts an instance that was not there, or starts one anew at the same address. */
+  /** Starts a new instance, or restarts one at the same address. */
   start(listed: ListedInstance, incarnation?: number): void;
-  /** Ends an instance without a word. With `closes`, the others of its domain see connections break. */
-  crash(id: InstanceId, closes?: boolean): void;
-  /** Announces, then ends an instance after `grace`. */
+  /** Ends an instance unannounced. With `breaksConnections`, its domain detects broken connections. */
+  crash(id: InstanceId, breaksConnections?: boolean): void;
+  /** Announces that an instance is leaving, and ends it after `grace`. */
   leave(id: InstanceId, grace: Millis): void;
-  /** Stops an instance's loop for a while; messages wait for it. */
+  /** Pauses an instance's event loop for `time`; its messages and timers are delayed until the end. */
   pause(id: InstanceId, time: Millis): void;
   setLoss(share: number): void;
-  /** Says which messages pass; null lets all pass. */
-  setLinkFilter(cut: ((from: ListedInstance, to: ListedInstance) => boolean) | null): void;
-  /** Whether the platform's list can be read. */
+  /** Sets the filter that decides which messages are delivered; null delivers all. */
+  setLinkFilter(filter: ((from: ListedInstance, to: ListedInstance) => boolean) | null): void;
+  /** Sets whether the platform's list can be read. */
   setListAvailable(isUp: boolean): void;
-  /** Delivers bytes to an instance as if they came over the network. */
+  /** Delivers bytes to an instance as if they had arrived over the network. */
   deliver(to: InstanceId, bytes: Uint8Array): void;
 }
 
-interface Running extends VirtualInstance {
+interface RunningInstance extends VirtualInstance {
   pausedUntil: Millis;
   isUp: boolean;
 }
@@ -75,7 +76,7 @@
 const HOST = '10.0.0.1';
 const FIRST_PORT = 20_000;
 
-/** Names an instance of a virtual domain. */
+/** Creates the list entry of an instance of a virtual domain. */
 export function createListedInstance(domain: DomainId, number: number): ListedInstance {
   const domainNumber = Number(domain.slice(1));
   return {
@@ -87,37 +88,37 @@
   };
 }
 
-/** Creates the fleet and starts its instances within the first second. */
+/** Creates the fleet; its instances start at random times within the first second. */
 export function createVirtualFleet(options: VirtualFleetOptions): VirtualFleet {
   const timers = createVirtualTimers();
   const random = createRandom(options.seed);
   const latency = options.latency ?? 0.5;
-  const running = new Map<InstanceId, Running>();
-  const list: ListChange[] = [];
+  const running = new Map<InstanceId, RunningInstance>();
+  const listChanges: ListChange[] = [];
   let loss = options.loss ?? 0;
-  let cut: ((from: ListedInstance, to: ListedInstance) => boolean) | null = null;
-  let isListUp = true;
-  let boots = 1;
+  let linkFilter: ((from: ListedInstance, to: ListedInstance) => boolean) | null = null;
+  let isListAvailable = true;
+  let lastBootId = 1;
 
-  function start(listed: ListedInstance, incarnation = boots): void {
+  function start(listed: ListedInstance, incarnation = lastBootId): void {
     crash(listed.id);
-    boots += 1;
-    list.push({ at: timers.now(), listed, isUp: true });
-    const own = createRandom(options.seed * 1_000_003 + boots);
+    lastBootId += 1;
+    listChanges.push({ at: timers.now(), listed, isUp: true });
+    const ownRandom = createRandom(options.seed * 1_000_003 + lastBootId);
     const state = { pausedUntil: 0, isUp: true };
-    const ownTimers = createPausable(timers, state);
+    const ownTimers = createPausableTimers(timers, state);
     const membership = createMembership({
-      self: { ...listed, bootId: boots, incarnation },
+      self: { ...listed, bootId: lastBootId, incarnation },
       timers: ownTimers,
-      random: own,
-      send: (to, bytes) => carry(listed, to, bytes),
+      random: ownRandom,
+      send: (to, bytes) => transmit(listed, to, bytes),
       cfg: options.cfg ?? {},
     });
-    const instance: Running = Object.assign(state, {
+    const instance: RunningInstance = Object.assign(state, {
       listed,
       membership,
       timers: ownTimers,
-      random: own,
+      random: ownRandom,
     });
     running.set(listed.id, instance);
     membership.registerListener((change) => options.onChange?.(listed.id, change, timers.now()));
@@ -125,29 +126,29 @@
     pollList(instance);
   }
 
-  function pollList(instance: Running): void {
+  function pollList(instance: RunningInstance): void {
     readList(instance);
     const period = jitter(instance.random, instance.membership.getListPeriod(), 0.2);
     instance.timers.registerTimeout(period, () => pollList(instance));
   }
 
-  function readList(instance: Running): void {
-    if (isListUp) {
-      const seen = new Map<InstanceId, ListedInstance>();
+  function readList(instance: RunningInstance): void {
+    if (isListAvailable) {
+      const visible = new Map<InstanceId, ListedInstance>();
       const until = timers.now() - (options.listLag ?? 0);
-      for (const { at, listed, isUp } of list) {
+      for (const { at, listed, isUp } of listChanges) {
         if (at <= until && isUp) {
-          seen.set(listed.id, listed);
+          visible.set(listed.id, listed);
         } else if (at <= until) {
-          seen.delete(listed.id);
+          visible.delete(listed.id);
         }
       }
-      instance.membership.applyInstanceList([...seen.values()]);
+      instance.membership.applyInstanceList([...visible.values()]);
     }
   }
 
-  function carry(from: ListedInstance, to: ListedInstance, bytes: Uint8Array): void {
-    if ((cut && !cut(from, to)) || random.nextFloat() < loss) {
+  function transmit(from: ListedInstance, to: ListedInstance, bytes: Uint8Array): void {
+    if ((linkFilter && !linkFilter(from, to)) || random.nextFloat() < loss) {
       return;
     }
     timers.registerTimeout(latency, () => deliver(to.id, bytes));
@@ -158,15 +159,15 @@
     if (!instance?.isUp) {
       return;
     }
-    const wait = instance.pausedUntil - timers.now();
-    if (wait > 0) {
-      timers.registerTimeout(wait, () => deliver(to, bytes));
+    const remainingPause = instance.pausedUntil - timers.now();
+    if (remainingPause > 0) {
+      timers.registerTimeout(remainingPause, () => deliver(to, bytes));
       return;
     }
     instance.membership.receive(decodeEnvelope(bytes).payload);
   }
 
-  function settle(): void {
+  function distributeRecords(): void {
     const updates = [...running.values()].map(({ membership }) => membership.getState().self);
     const common = { updates, ages: [], topics: [], wanted: [] };
     for (const sender of updates.slice(0, 2)) {
@@ -176,19 +177,19 @@
     }
   }
 
-  function crash(id: InstanceId, closes = false): void {
+  function crash(id: InstanceId, breaksConnections = false): void {
     const instance = running.get(id);
     if (instance) {
       instance.isUp = false;
       running.delete(id);
-      list.push({ at: timers.now(), listed: instance.listed, isUp: false });
-      if (closes) {
-        timers.registerTimeout(latency, () => breakConnections(instance.listed));
+      listChanges.push({ at: timers.now(), listed: instance.listed, isUp: false });
+      if (breaksConnections) {
+        timers.registerTimeout(latency, () => reportConnectionsLost(instance.listed));
       }
     }
   }
 
-  function breakConnections({ id, domain }: ListedInstance): void {
+  function reportConnectionsLost({ id, domain }: ListedInstance): void {
     for (const { listed, membership } of running.values()) {
       if (listed.domain === domain) {
         membership.reportConnectionLost(id);
@@ -196,7 +197,7 @@
     }
   }
 
-  function get(id: InstanceId): Running {
+  function get(id: InstanceId): RunningInstance {
     const instance = running.get(id);
     invariant(instance, `instance ${id} runs`);
     return instance;
@@ -205,7 +206,7 @@
   options.domainSizes.forEach((size, domain) => {
     for (let number = 0; number < size; number++) {
       const listed = createListedInstance(`d${domain}`, number);
-      list.push({ at: -1e9, listed, isUp: true });
+      listChanges.push({ at: -1e9, listed, isUp: true });
       timers.registerTimeout(random.nextFloat() * 1000, () => start(listed));
     }
   });
@@ -215,7 +216,7 @@
     advance: (time) => timers.advanceTo(timers.now() + time),
     getInstances: () => [...running.values()],
     get,
-    convergeViews: settle,
+    convergeViews: distributeRecords,
     start,
     crash,
     leave(id, grace) {
@@ -232,24 +233,24 @@
       loss = share;
     },
     setLinkFilter(next) {
-      cut = next;
+      linkFilter = next;
     },
     setListAvailable(isUp) {
-      isListUp = isUp;
+      isListAvailable = isUp;
     },
     deliver,
   };
 }
 
-/** Timers of one instance: they stop with it, and come late while it is paused. */
-function createPausable(
+/** Creates the timers of one instance: they stop with it and fire late while it is paused. */
+function createPausableTimers(
   timers: VirtualTimers,
   state: { readonly pausedUntil: Millis; readonly isUp: boolean },
 ): TimerService {
   function run(listener: () => void): void {
-    const wait = state.pausedUntil - timers.now();
-    if (wait > 0) {
-      timers.registerTimeout(wait, () => run(listener));
+    const remainingPause = state.pausedUntil - timers.now();
+    if (remainingPause > 0) {
+      timers.registerTimeout(remainingPause, () => run(listener));
     } else if (state.isUp) {
       listener();
     }
--- a/packages/membership/src/__tests__/unit/MembershipCache.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipCache.test.ts
@@ -13,8 +13,8 @@
 }
 
 describe('MembershipCache', () => {
-  it('trusts a sketch less after a gap, and wins trust back by events in order', () => {
-    // Guards against a sketch of an engine's cache that is believed though an event of it was lost.
+  it('lowers the confidence of a sketch after a gap and restores it with consecutive events', () => {
+    // Guards against full confidence in the sketch of an engine's cache although an event was lost.
     let sketch = applyCacheEvent(createCacheSketch(), createStored(1, 'p'), 0);
     expect(getSketchConfidence(encodeSketch(sketch), 'p')).to.equal(1);
     sketch = applyCacheEvent(sketch, createStored(5, 'q'), 1);
@@ -28,7 +28,7 @@
     expect(getSketchConfidence(encodeSketch(sketch), 'q')).to.equal(0);
   });
 
-  it('spreads the most used prefixes in 17 bytes', () => {
+  it('encodes the most used prefixes in 17 bytes', () => {
     let sketch = createCacheSketch();
     for (let number = 1; number <= 1000; number++) {
       const prefix = number % 3 === 0 ? 'hot' : `cold-${number}`;
@@ -39,7 +39,7 @@
     expect(sketch.prefixes.size).to.be.at.most(512);
   });
 
-  it('lets what answers show stand over an older digest, and digests fade', () => {
+  it('prefers what answers report over an older digest, and lets digests decay with age', () => {
     const owner = createCacheGossip();
     const other = createCacheGossip();
     owner.recordEvent('e1', createStored(1, 'p'), 0);
--- a/packages/membership/src/__tests__/unit/MembershipCalls.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipCalls.test.ts
@@ -26,7 +26,7 @@
 }
 
 describe('MembershipCalls', () => {
-  it('gives each call its own reply, also when replies are crossed', async () => {
+  it('matches each call with its own reply when replies arrive out of order', async () => {
     const { timers, a, held, flush } = createPair();
     const first = a.call('b', DOUBLE, { value: 1 }, 100);
     const second = a.call('b', DOUBLE, { value: 2 }, 100);
@@ -38,8 +38,8 @@
     expect(await second).to.deep.equal({ ok: true, value: { doubled: 4 } });
   });
 
-  it('drops a late reply and lets the next call through', async () => {
-    // Guards against replies that are matched by order, so that a late one answers the next call.
+  it('drops a late reply and completes the next call', async () => {
+    // Guards against matching replies by order, where a late reply would answer the next call.
     const { timers, a, flush } = createPair();
     const first = a.call('b', DOUBLE, { value: 1 }, 100);
     flush();
@@ -54,9 +54,9 @@
     expect(await second).to.deep.equal({ ok: true, value: { doubled: 10 } });
   });
 
-  it('refuses calls beyond the bound, and says when nothing was sent', async () => {
+  it('rejects calls above the limit, and reports when nothing was sent', async () => {
     const { a } = createPair();
-    const open = [1, 2].map((value) => a.call('b', DOUBLE, { value }, 100));
+    const openCalls = [1, 2].map((value) => a.call('b', DOUBLE, { value }, 100));
     expect(await a.call('b', DOUBLE, { value: 3 }, 100)).to.deep.equal({
       ok: false,
       error: { kind: 'busy' },
@@ -65,10 +65,10 @@
       ok: false,
       error: { kind: 'unsent' },
     });
-    expect(open).to.have.length(2);
+    expect(openCalls).to.have.length(2);
   });
 
-  it('drops a reply from an instance that was not asked, and garbage', async () => {
+  it('drops invalid messages and a reply from an instance that was not called', async () => {
     const { timers, a, flush } = createPair();
     const call = a.call('b', DOUBLE, { value: 1 }, 100);
     a.receive({ from: 'c', kind: EnvelopeKind.Reply, payload: ['a', 1, true, { doubled: 99 }] });
--- a/packages/membership/src/__tests__/unit/MembershipDuties.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipDuties.test.ts
@@ -33,7 +33,7 @@
   return { fleet, duties };
 }
 
-/** How many of the running instances hold each duty. */
+/** Counts, for each duty, the running instances that hold it. */
 function countHolders({ fleet, duties }: DutyFleet): readonly number[] {
   return DUTIES.map(
     (duty) =>
@@ -42,56 +42,56 @@
 }
 
 describe('MembershipDuties', () => {
-  it('gives each duty to one instance, and moves only what a change concerns', () => {
-    const shared = createDutyFleet(1, 10);
-    expect(countHolders(shared).every((count) => count === 1)).to.equal(true);
+  it('assigns each duty to one instance, and moves only the duties of an instance that is gone', () => {
+    const dutyFleet = createDutyFleet(1, 10);
+    expect(countHolders(dutyFleet).every((count) => count === 1)).to.equal(true);
     const moved: string[] = [];
-    shared.duties.forEach((own, id) => {
+    dutyFleet.duties.forEach((own, id) => {
       own.registerListener(({ lost }) => moved.push(...lost.map(() => id)));
     });
-    const lostWithIt = shared.duties.get('d0-i3')?.getOwn().length ?? 0;
-    shared.fleet.crash('d0-i3');
-    shared.fleet.advance(10_000);
-    expect(countHolders(shared).every((count) => count === 1)).to.equal(true);
+    const lostWithIt = dutyFleet.duties.get('d0-i3')?.getOwn().length ?? 0;
+    dutyFleet.fleet.crash('d0-i3');
+    dutyFleet.fleet.advance(10_000);
+    expect(countHolders(dutyFleet).every((count) => count === 1)).to.equal(true);
     expect(lostWithIt).to.be.above(0);
     expect(moved).to.have.length(0);
   });
 
-  it('hands duties over within a second of the start of a planned stop', () => {
-    // Guards against duties that follow an instance's death and not its intent to stop.
-    const shared = createDutyFleet(2, 10);
+  it('reassigns duties within a second of the start of a planned stop', () => {
+    // Guards against duties that move only once the instance is dead and not when it announces its stop.
+    const dutyFleet = createDutyFleet(2, 10);
     const lost: string[] = [];
-    shared.duties.get('d0-i5')?.registerListener((change) => lost.push(...change.lost));
-    shared.fleet.leave('d0-i5', 30_000);
-    expect(shared.duties.get('d0-i5')?.getOwn()).to.have.length(0);
+    dutyFleet.duties.get('d0-i5')?.registerListener((change) => lost.push(...change.lost));
+    dutyFleet.fleet.leave('d0-i5', 30_000);
+    expect(dutyFleet.duties.get('d0-i5')?.getOwn()).to.have.length(0);
     expect(lost.length).to.be.above(0);
-    shared.fleet.advance(1000);
-    expect(countHolders(shared).every((count) => count === 1)).to.equal(true);
+    dutyFleet.fleet.advance(1000);
+    expect(countHolders(dutyFleet).every((count) => count === 1)).to.equal(true);
   });
 
-  it('has two holders while a domain is cut in halves, and one again afterwards', () => {
-    const shared = createDutyFleet(3, 10);
+  it('has two holders per duty while a domain is partitioned in two, and one after it heals', () => {
+    const dutyFleet = createDutyFleet(3, 10);
     const isLeft = (id: string) => Number(id.slice(4)) < 5;
-    shared.fleet.setLinkFilter((from, to) => isLeft(from.id) === isLeft(to.id));
-    shared.fleet.advance(15_000);
-    expect(countHolders(shared).every((count) => count === 2)).to.equal(true);
-    shared.fleet.setLinkFilter(null);
-    shared.fleet.advance(25_000);
-    expect(countHolders(shared).every((count) => count === 1)).to.equal(true);
+    dutyFleet.fleet.setLinkFilter((from, to) => isLeft(from.id) === isLeft(to.id));
+    dutyFleet.fleet.advance(15_000);
+    expect(countHolders(dutyFleet).every((count) => count === 2)).to.equal(true);
+    dutyFleet.fleet.setLinkFilter(null);
+    dutyFleet.fleet.advance(25_000);
+    expect(countHolders(dutyFleet).every((count) => count === 1)).to.equal(true);
   });
 
-  it('weighs step by step to the same owners as all at once', () => {
-    // Guards against owners that depend on the order in which joins and ends were heard.
+  it('assigns the same owners step by step as all at once', () => {
+    // Guards against owners that depend on the order in which instances joined and left.
     const random = createRandom(4);
-    let stepped = applyDuties(createDutyState('i0'), DUTIES).state;
+    let incremental = applyDuties(createDutyState('i0'), DUTIES).state;
     for (let round = 0; round < 50; round++) {
       const live = ['i0', ...Array.from({ length: 9 }, (_, i) => `i${i + 1}`)].filter(
         () => random.nextInt(3) > 0,
       );
-      stepped = applyLive(stepped, live).state;
-      const atOnce = applyDuties(applyLive(createDutyState('i0'), live).state, DUTIES).state;
-      expect(getOwnDuties(stepped)).to.deep.equal(getOwnDuties(atOnce));
-      expect(stepped.holders).to.deep.equal(atOnce.holders);
+      incremental = applyLive(incremental, live).state;
+      const recomputed = applyDuties(applyLive(createDutyState('i0'), live).state, DUTIES).state;
+      expect(getOwnDuties(incremental)).to.deep.equal(getOwnDuties(recomputed));
+      expect(incremental.holders).to.deep.equal(recomputed.holders);
     }
   });
 });
--- a/packages/membership/src/__tests__/unit/MembershipLoad.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipLoad.test.ts
@@ -31,7 +31,7 @@
 }
 
 describe('MembershipLoad', () => {
-  it('keeps counts to about a tenth, and small ones exactly', () => {
+  it('encodes counts to about a tenth of their value, and small counts exactly', () => {
     for (let running = 0; running < 200; running++) {
       const got = decodeLoad(encodeLoad(createLoad({ running, queued: running })));
       expect(Math.abs(got.running - running)).to.be.at.most(Math.max(0, 0.06 * running + 0.5));
@@ -42,7 +42,7 @@
     );
   });
 
-  it('never makes a load younger than it is, over many hops', () => {
+  it('never makes a load appear younger than it is over many hops', () => {
     // Guards against ages that are rounded down at each hop, so that a stale load looks fresh.
     const random = createRandom(1);
     for (let age = 0; age < 700_000; age += 37) {
@@ -63,7 +63,7 @@
     expect(getLoad(table, 'e1')?.seenAt).to.be.at.least(1000 - 8 * 100);
   });
 
-  it('keeps the later sighting whichever comes first, and takes two owners', () => {
+  it('keeps the later observation of two owners whichever arrives first', () => {
     const older = createLoadTable();
     const newer = createLoadTable();
     recordLoad(older, createLoad({ running: 1 }), 1000);
@@ -79,7 +79,7 @@
     }
   });
 
-  it('keeps to its bytes a second, and drops digests that are cut off', () => {
+  it('stays within its bytes per second, and drops truncated digests', () => {
     const topics = createTopicTable();
     const loads = createLoadGossip();
     topics.registerTopic(loads.topic);
@@ -99,31 +99,33 @@
 });
 
 describe('MembershipDigests', () => {
-  it('brings a small value to all instances of all domains, and forgets it in time', () => {
-    const spreads = new Map<string, DigestGossip<{ crashes: number }>>();
+  it('replicates a small value to all instances of all domains, and expires it', () => {
+    const digestsById = new Map<string, DigestGossip<{ crashes: number }>>();
     const fleet = createVirtualFleet({
       seed: 2,
       domainSizes: [8, 8, 8],
       loss: 0.1,
       onStart({ listed, membership }) {
-        const spread = createDigestGossip<{ crashes: number }>({
+        const digests = createDigestGossip<{ crashes: number }>({
           topic: TopicNumber.Poison,
           bytesPerSecond: 100,
           bytesPerMessage: 100,
           crossesDomains: true,
           retention: 60_000,
         });
-        membership.registerTopic(spread.topic);
-        spreads.set(listed.id, spread);
+        membership.registerTopic(digests.topic);
+        digestsById.set(listed.id, digests);
       },
     });
     fleet.advance(15_000);
-    spreads.get('d1-i3')?.record('fingerprint', { crashes: 1 }, fleet.timers.now());
+    digestsById.get('d1-i3')?.record('fingerprint', { crashes: 1 }, fleet.timers.now());
     fleet.advance(5000);
-    spreads.get('d2-i1')?.record('fingerprint', { crashes: 2 }, fleet.timers.now());
+    digestsById.get('d2-i1')?.record('fingerprint', { crashes: 2 }, fleet.timers.now());
     fleet.advance(15_000);
     const read = () =>
-      [...spreads.values()].map((one) => one.get('fingerprint', fleet.timers.now())?.value.crashes);
+      [...digestsById.values()].map(
+        (one) => one.get('fingerprint', fleet.timers.now())?.value.crashes,
+      );
     expect(new Set(read())).to.deep.equal(new Set([2]));
     fleet.advance(60_000);
     expect(new Set(read())).to.deep.equal(new Set([undefined]));
--- a/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
@@ -7,44 +7,50 @@
 import type { VirtualFleet, VirtualFleetOptions } from '../../VirtualFleet.js';
 import { createListedInstance, createVirtualFleet } from '../../VirtualFleet.js';
 
-interface Seen {
+interface ObservedChange {
   readonly observer: string;
   readonly kind: string;
   readonly id: string;
   readonly at: number;
 }
 
-interface Watched {
+interface ObservedFleet {
   readonly fleet: VirtualFleet;
-  readonly seen: Seen[];
+  readonly changes: ObservedChange[];
 }
 
-function createWatched(options: VirtualFleetOptions): Watched {
-  const seen: Seen[] = [];
+function createObservedFleet(options: VirtualFleetOptions): ObservedFleet {
+  const changes: ObservedChange[] = [];
   function onChange(observer: string, change: MembershipChange, at: number): void {
     const [kind, id] =
       change.kind === 'member'
         ? [change.change.kind as string, change.change.id]
         : [change.reachable ? 'reachable' : 'cut-off', change.domain];
-    seen.push({ observer, kind, id, at });
+    changes.push({ observer, kind, id, at });
   }
-  return { fleet: createVirtualFleet({ ...options, onChange }), seen };
+  return { fleet: createVirtualFleet({ ...options, onChange }), changes };
 }
 
-/** A fleet whose members know each other; what was seen on the way is forgotten. */
-function createSettled(options: VirtualFleetOptions): Watched {
-  const watched = createWatched(options);
-  watched.fleet.advance(20_000);
-  watched.seen.length = 0;
-  return watched;
+/**
+ * Creates a fleet whose members all know each other, and discards the changes observed until then.
+ */
+function createSettledFleet(options: VirtualFleetOptions): ObservedFleet {
+  const observed = createObservedFleet(options);
+  observed.fleet.advance(20_000);
+  observed.changes.length = 0;
+  return observed;
 }
 
-function select(seen: readonly Seen[], kind: string, id?: string): readonly Seen[] {
-  return seen.filter((one) => one.kind === kind && (id === undefined || one.id === id));
+function selectChanges(
+  changes: readonly ObservedChange[],
+  kind: string,
+  id?: string,
+): readonly ObservedChange[] {
+  return changes.filter((change) => change.kind === kind && (id === undefined || change.id === id));
 }
 
-/** The different numbers of live instances that the instances count. */
-function countViews(fleet: VirtualFleet, domain?: string): readonly number[] {
+/** Returns the distinct numbers of live instances in the views of all instances, sorted. */
+function getViewSizes(fleet: VirtualFleet, domain?: string): readonly number[] {
   const sizes = fleet
     .getInstances()
     .map(({ membership }) => membership.getLiveInstances(domain).length);
@@ -52,123 +58,134 @@
 }
 
 describe('MembershipMachine', () => {
-  it('brings instances of several domains to one view, from a list that lags', () => {
-    const { fleet, seen } = createWatched({ seed: 1, domainSizes: [7, 5, 9] });
+  it('converges to one view across several domains when the platform list lags', () => {
+    const { fleet, changes } = createObservedFleet({ seed: 1, domainSizes: [7, 5, 9] });
     fleet.advance(15_000);
-    expect(countViews(fleet)).to.deep.equal([21]);
-    expect(select(seen, 'dead')).to.have.length(0);
-    expect(select(seen, 'suspected')).to.have.length(0);
+    expect(getViewSizes(fleet)).to.deep.equal([21]);
+    expect(selectChanges(changes, 'dead')).to.have.length(0);
+    expect(selectChanges(changes, 'suspected')).to.have.length(0);
   });
 
-  it('sees a crash within seconds, on every other instance, and calls none other dead', () => {
-    // Guards against an instance that ends without a word, and whose silence nobody notices.
+  it('detects a crash on every other instance within 8 seconds and declares no other instance dead', () => {
+    // Guards against a crash that other instances never detect because the crashed instance
+    // announces nothing.
     for (const [seed, size] of [
       [3, 7],
       [4, 40],
     ] as const) {
-      const { fleet, seen } = createSettled({ seed, domainSizes: [size] });
+      const { fleet, changes } = createSettledFleet({ seed, domainSizes: [size] });
       const crashedAt = fleet.timers.now();
       fleet.crash('d0-i3');
       fleet.advance(10_000);
-      const deaths = select(seen, MemberChangeKind.Dead);
+      const deaths = selectChanges(changes, MemberChangeKind.Dead);
       expect(deaths.every(({ id }) => id === 'd0-i3')).to.equal(true);
       expect(deaths).to.have.length(size - 1);
       expect(Math.max(...deaths.map(({ at }) => at - crashedAt))).to.be.below(8000);
     }
   });
 
-  it('is quicker when connections break, but condemns nobody for that alone', () => {
-    // Guards against a broken connection that is taken for proof of death.
-    const { fleet, seen } = createSettled({ seed: 14, domainSizes: [20] });
+  it('detects a crash faster when connections break, but declares no instance dead for a broken connection alone', () => {
+    // Guards against treating a broken connection as proof of a crash.
+    const { fleet, changes } = createSettledFleet({ seed: 14, domainSizes: [20] });
     fleet.getInstances().forEach(({ membership }) => {
       fleet.getInstances().forEach(({ listed }) => membership.reportConnectionLost(listed.id));
     });
     fleet.advance(10_000);
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
     const crashedAt = fleet.timers.now();
     fleet.crash('d0-i3', true);
     fleet.advance(5000);
-    const deaths = select(seen, MemberChangeKind.Dead, 'd0-i3');
+    const deaths = selectChanges(changes, MemberChangeKind.Dead, 'd0-i3');
     expect(deaths).to.have.length(19);
     expect(Math.max(...deaths.map(({ at }) => at - crashedAt))).to.be.below(3000);
   });
 
-  it('declares nobody dead at 20% loss while instances pause for two seconds', () => {
-    // Guards against silence that is taken for death while messages are lost and loops stand still.
+  it('declares no instance dead at 20% loss while instances pause for two seconds', () => {
+    // Guards against false deaths when acks are missing because of message loss and blocked event
+    // loops.
     for (const size of [7, 20]) {
-      const { fleet, seen } = createSettled({ seed: size, domainSizes: [size] });
+      const { fleet, changes } = createSettledFleet({ seed: size, domainSizes: [size] });
       fleet.setLoss(0.2);
       for (let round = 0; round < 8; round++) {
         fleet.pause(`d0-i${(round * 3) % size}`, 2000);
         fleet.advance(5000);
       }
-      expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
-      expect(countViews(fleet)).to.deep.equal([size]);
+      expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
+      expect(getViewSizes(fleet)).to.deep.equal([size]);
     }
   });
 
-  it('does not condemn others after a long pause of its own, and is taken back', () => {
-    // Guards against an instance that wakes and declares its domain dead, since its timers fire before it reads.
-    const { fleet, seen } = createSettled({ seed: 5, domainSizes: [12] });
+  it('declares no instance dead after a long pause of its own, and is accepted as live again', () => {
+    // Guards against a resumed instance that declares its domain dead, because its timers fire
+    // before it reads messages.
+    const { fleet, changes } = createSettledFleet({ seed: 5, domainSizes: [12] });
     fleet.pause('d0-i0', 60_000);
     fleet.advance(59_000);
-    expect(select(seen, MemberChangeKind.Dead, 'd0-i0')).to.have.length(11);
-    seen.length = 0;
+    expect(selectChanges(changes, MemberChangeKind.Dead, 'd0-i0')).to.have.length(11);
+    changes.length = 0;
     fleet.advance(11_000);
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
-    expect(countViews(fleet)).to.deep.equal([12]);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
+    expect(getViewSizes(fleet)).to.deep.equal([12]);
   });
 
-  it('goes on after pauses of its own in which other domains spoke to it', () => {
-    // Guards against a process that dies, with all answers in it, since it takes news for news from the future.
-    const { fleet, seen } = createSettled({ seed: 7, domainSizes: [3, 3] });
+  it('keeps running after pauses of its own during which other domains sent messages', () => {
+    // Guards against a crash of the process with all its running requests: if the shift after a
+    // pause moves a domain's last-seen time into the future, its age is negative and cannot be
+    // encoded.
+    const { fleet, changes } = createSettledFleet({ seed: 7, domainSizes: [3, 3] });
     for (let round = 0; round < 20; round++) {
       fleet.pause(`d${round % 2}-i${round % 3}`, 1000);
       fleet.advance(2500);
     }
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
-    expect(countViews(fleet)).to.deep.equal([6]);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
+    expect(getViewSizes(fleet)).to.deep.equal([6]);
     fleet.getInstances().forEach(({ membership }) => {
-      const heard = [...membership.getState().domainSeenAt.values()];
-      expect(Math.max(...heard)).to.be.at.most(fleet.timers.now());
+      const seenAt = [...membership.getState().domainSeenAt.values()];
+      expect(Math.max(...seenAt)).to.be.at.most(fleet.timers.now());
     });
   });
 
-  it('keeps both halves of a cut domain going and merges them without a wave of deaths', () => {
-    // Guards against a list of deaths from the other half that outranks what was seen.
-    const { fleet, seen } = createSettled({ seed: 6, domainSizes: [20] });
-    const isLeft = (id: string) => Number(id.slice(4)) < 10;
-    fleet.setLinkFilter((from, to) => isLeft(from.id) === isLeft(to.id));
+  it('keeps both halves of a partitioned domain live and merges them without false deaths', () => {
+    // Guards against deaths reported by the other half that override what an instance observed
+    // itself.
+    const { fleet, changes } = createSettledFleet({ seed: 6, domainSizes: [20] });
+    const isInFirstHalf = (id: string) => Number(id.slice(4)) < 10;
+    fleet.setLinkFilter((from, to) => isInFirstHalf(from.id) === isInFirstHalf(to.id));
     fleet.advance(30_000);
-    expect(countViews(fleet)).to.deep.equal([10]);
-    seen.length = 0;
+    expect(getViewSizes(fleet)).to.deep.equal([10]);
+    changes.length = 0;
     fleet.setLinkFilter(null);
     fleet.advance(30_000);
-    expect(countViews(fleet)).to.deep.equal([20]);
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
+    expect(getViewSizes(fleet)).to.deep.equal([20]);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
   });
 
-  it('says that a domain is cut off, keeps its members, and hears of it again', () => {
-    const { fleet, seen } = createSettled({ seed: 7, domainSizes: [6, 6, 6] });
-    fleet.setLinkFilter((from, to) => from.domain === to.domain || ![from, to].some(isInFirst));
+  it('reports a domain as unreachable, keeps its members, and reaches it again after the partition', () => {
+    const { fleet, changes } = createSettledFleet({ seed: 7, domainSizes: [6, 6, 6] });
+    fleet.setLinkFilter(
+      (from, to) => from.domain === to.domain || ![from, to].some(isInFirstDomain),
+    );
     fleet.advance(30_000);
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
-    expect(new Set(select(seen, 'cut-off').map(({ observer }) => observer)).size).to.equal(18);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
+    expect(
+      new Set(selectChanges(changes, 'cut-off').map(({ observer }) => observer)).size,
+    ).to.equal(18);
     expect(fleet.get('d0-i0').membership.getLiveInstances()).to.have.length(6);
     expect(fleet.get('d1-i0').membership.getLiveInstances()).to.have.length(12);
     fleet.setLinkFilter(null);
     fleet.advance(15_000);
-    expect(countViews(fleet)).to.deep.equal([18]);
+    expect(getViewSizes(fleet)).to.deep.equal([18]);
   });
 
-  it('merges a cut domain whose members were all restarted meanwhile, with the list down', () => {
-    // Guards against two sides that hold only old incarnations of each other, and never meet again.
-    const { fleet } = createSettled({ seed: 8, domainSizes: [5, 5] });
+  it('merges a partitioned domain whose members restarted in the meantime while the list is unavailable', () => {
+    // Guards against two sides that know only old incarnations of each other and never reconnect.
+    const { fleet } = createSettledFleet({ seed: 8, domainSizes: [5, 5] });
     fleet.setLinkFilter((from, to) => from.domain === to.domain);
     fleet.advance(20_000);
     fleet.setListAvailable(false);
     for (let number = 0; number < 5; number++) {
-      // The first is not restarted, so that somebody in the domain can be found without the list.
+      // The first instance is not restarted, so that one member of the domain is reachable without
+      // the list.
       if (number > 0) {
         fleet.start(createListedInstance('d0', number), 1);
       }
@@ -177,27 +194,35 @@
     fleet.advance(5000);
     fleet.setLinkFilter(null);
     fleet.advance(25_000);
-    expect(countViews(fleet)).to.deep.equal([10]);
+    expect(getViewSizes(fleet)).to.deep.equal([10]);
     const known = fleet.get('d1-i0').membership.getInstance('d0-i2');
     expect(known?.bootId).to.equal(fleet.get('d0-i2').membership.getState().self.bootId);
   });
 
-  it('takes a restart at the same address for a new start, though its clock was set back', () => {
-    const { fleet, seen } = createSettled({ seed: 9, domainSizes: [9] });
+  it('recognizes a restart at the same address although its clock was set back', () => {
+    const { fleet, changes } = createSettledFleet({ seed: 9, domainSizes: [9] });
     const before = fleet.get('d0-i1').membership.getState().self;
     fleet.start(createListedInstance('d0', 1), 0);
     fleet.advance(8000);
     expect(
-      new Set(select(seen, MemberChangeKind.Restarted, 'd0-i1').map((one) => one.observer)).size,
+      new Set(
+        selectChanges(changes, MemberChangeKind.Restarted, 'd0-i1').map(
+          (change) => change.observer,
+        ),
+      ).size,
     ).to.equal(8);
     const after = fleet.get('d0-i2').membership.getInstance('d0-i1');
     expect(after?.bootId).to.not.equal(before.bootId);
-    expect(countViews(fleet)).to.deep.equal([9]);
+    expect(getViewSizes(fleet)).to.deep.equal([9]);
   });
 
-  it('follows the replacement of half the fleet while messages are lost', () => {
-    // Guards against changes that crowd each other out of the messages while half of the fleet is replaced.
-    const { fleet, seen } = createSettled({ seed: 10, domainSizes: [12, 12], listLag: 20_000 });
+  it('converges while half of the fleet is replaced and messages are lost', () => {
+    // Guards against updates that displace each other from messages when many members change.
+    const { fleet, changes } = createSettledFleet({
+      seed: 10,
+      domainSizes: [12, 12],
+      listLag: 20_000,
+    });
     fleet.setLoss(0.1);
     for (let number = 0; number < 12; number += 2) {
       for (const domain of ['d0', 'd1']) {
@@ -207,25 +232,25 @@
       }
     }
     fleet.advance(30_000);
-    expect(countViews(fleet)).to.deep.equal([24]);
-    const wrong = select(seen, MemberChangeKind.Dead).filter(({ id }) => {
+    expect(getViewSizes(fleet)).to.deep.equal([24]);
+    const falseDeaths = selectChanges(changes, MemberChangeKind.Dead).filter(({ id }) => {
       const number = Number(id.split('i')[1]);
       return number >= 12 || number % 2 === 1;
     });
-    expect(wrong).to.have.length(0);
+    expect(falseDeaths).to.have.length(0);
   });
 
-  it('does not bring a dead member back by old news', () => {
-    // Guards against delayed news that brings a dead instance back.
-    const { fleet, seen } = createSettled({ seed: 11, domainSizes: [8] });
+  it('does not bring a dead member back when old gossip arrives', () => {
+    // Guards against a delayed message that carries a record from before the death.
+    const { fleet, changes } = createSettledFleet({ seed: 11, domainSizes: [8] });
     const record = fleet.get('d0-i7').membership.getState().self;
-    const teller = fleet.get('d0-i6').membership.getState().self;
+    const sender = fleet.get('d0-i6').membership.getState().self;
     fleet.crash('d0-i7');
     fleet.advance(10_000);
-    seen.length = 0;
+    changes.length = 0;
     const message = {
       kind: GossipKind.Records,
-      sender: teller,
+      sender,
       updates: [record],
       ages: [],
       topics: [],
@@ -233,27 +258,27 @@
     };
     const payload = encodeGossip(message);
     for (let number = 0; number < 6; number++) {
-      const bytes = encodeEnvelope({ from: teller.id, kind: EnvelopeKind.Gossip, payload });
+      const bytes = encodeEnvelope({ from: sender.id, kind: EnvelopeKind.Gossip, payload });
       fleet.deliver(`d0-i${number}`, bytes);
     }
     fleet.advance(20_000);
-    expect(select(seen, MemberChangeKind.Joined)).to.have.length(0);
-    expect(countViews(fleet)).to.deep.equal([7]);
+    expect(selectChanges(changes, MemberChangeKind.Joined)).to.have.length(0);
+    expect(getViewSizes(fleet)).to.deep.equal([7]);
   });
 
-  it('tells of a planned stop at once, and never calls it a death', () => {
-    const { fleet, seen } = createSettled({ seed: 12, domainSizes: [30] });
+  it('announces a planned stop immediately and never reports it as a death', () => {
+    const { fleet, changes } = createSettledFleet({ seed: 12, domainSizes: [30] });
     fleet.leave('d0-i4', 5000);
     fleet.advance(3000);
-    expect(select(seen, MemberChangeKind.Leaving, 'd0-i4')).to.have.length(30);
-    expect(countViews(fleet)).to.deep.equal([29]);
+    expect(selectChanges(changes, MemberChangeKind.Leaving, 'd0-i4')).to.have.length(30);
+    expect(getViewSizes(fleet)).to.deep.equal([29]);
     fleet.advance(12_000);
-    expect(select(seen, MemberChangeKind.Dead)).to.have.length(0);
-    expect(select(seen, MemberChangeKind.Left, 'd0-i4').length).to.be.at.least(29);
+    expect(selectChanges(changes, MemberChangeKind.Dead)).to.have.length(0);
+    expect(selectChanges(changes, MemberChangeKind.Left, 'd0-i4').length).to.be.at.least(29);
   });
 
-  it('costs an instance the same however many instances the other domains have', () => {
-    // Guards against control traffic that grows with the instances of other domains.
+  it('sends about the same number of bytes per instance regardless of the size of other domains', () => {
+    // Guards against control traffic that grows with the number of instances in other domains.
     const costs = [
       [12, 12, 12],
       [12, 40, 40],
@@ -271,10 +296,10 @@
     expect(amongMany / amongFew).to.be.within(0.8, 1.2);
   });
 
-  it('counts and drops garbage', () => {
-    const { fleet } = createSettled({ seed: 13, domainSizes: [3] });
+  it('counts and drops malformed messages', () => {
+    const { fleet } = createSettledFleet({ seed: 13, domainSizes: [3] });
     const { membership } = fleet.get('d0-i0');
-    const good = encodeGossip({
+    const validMessage = encodeGossip({
       kind: GossipKind.Sync,
       sender: fleet.get('d0-i1').membership.getState().self,
       updates: [fleet.get('d0-i2').membership.getState().self],
@@ -284,19 +309,19 @@
       hashes: [1, 2, 3],
     });
     const before = membership.getCounters().garbage;
-    let damaged = 0;
-    for (let at = 0; at < good.length; at++) {
-      membership.receive(good.subarray(0, at));
-      damaged += 1;
+    let truncated = 0;
+    for (let at = 0; at < validMessage.length; at++) {
+      membership.receive(validMessage.subarray(0, at));
+      truncated += 1;
     }
     membership.receive('text');
     membership.receive(undefined);
-    expect(membership.getCounters().garbage - before).to.equal(damaged + 2);
+    expect(membership.getCounters().garbage - before).to.equal(truncated + 2);
     expect(membership.getLiveInstances()).to.have.length(3);
   });
 });
 
-function isInFirst({ domain }: { readonly domain: string }): boolean {
+function isInFirstDomain({ domain }: { readonly domain: string }): boolean {
   return domain === 'd0';
 }
 
