--- a/packages/stand-ins/src/StandInEngine.ts
+++ b/packages/stand-ins/src/StandInEngine.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine: holds a layer range, passes tokens on, and fails when told to. */
+/** Stand-in for a model engine: runs a layer range, calls the next stage, and injects faults. */
 import { once } from 'node:events';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { FastifyInstance, FastifyReply } from 'fastify';
@@ -16,32 +16,30 @@
 import { startStandInServer } from './StandInServer.js';
 
 const HANG_POLL_MS = 50;
-const PREFILL_PROMPT = -1;
+const PREFILL_TOKEN_INDEX = -1;
 const STATUS_BUSY = 503;
 const STATUS_MISMATCH = 409;
-const MILLIS = 1000;
+const MILLIS_PER_SECOND = 1000;
 
-/** What a stand-in engine is. */
 export interface StandInEngineOptions {
   readonly facts: Omit<EngineFacts, 'address'>;
   readonly host: string;
   readonly port: number;
   readonly holding: Holding | null;
   readonly checksFencing: boolean;
-  /** Milliseconds for one token through one layer; 0 takes no time. */
+  /** Milliseconds that one token takes in one layer; 0 adds no delay. */
   readonly stepMsPerLayer: number;
   /** Milliseconds to load the weights of one layer. */
   readonly loadMsPerLayer: number;
 }
 
-/** A running stand-in engine. */
 export interface StandInEngine {
   readonly server: StandInServer;
   readonly ledger: Ledger<LayerPass>;
   readonly readLoad: () => EngineLoad;
 }
 
-/** Raised inside a stage when the stage behind it failed. */
+/** A failure of this stage or of a later one; `status` is null without an HTTP response. */
 class StageFailure extends Error {
   constructor(
     readonly engine: string,
@@ -85,7 +83,7 @@
     }
   }
 
-  /** Runs this engine's layers for one token, or for the prompt. */
+  /** Runs this engine's layers for one token, or for the prefill. */
   async function runLayers(body: ForwardBody): Promise<void> {
     const own = body.stages[body.stage];
     const crashOn = faults.isActive('crash-on') ? faults.consume('crash-on') : null;
@@ -97,13 +95,13 @@
     const slow = faults.consume('slow')?.factor ?? 1;
     const layers = (own?.layers.end ?? 0) - (own?.layers.first ?? 0);
     const work =
-      body.token === PREFILL_PROMPT
-        ? (body.prefillTokens * layers * MILLIS) / facts.prefillLayerTokensPerSecond
+      body.token === PREFILL_TOKEN_INDEX
+        ? (body.prefillTokens * layers * MILLIS_PER_SECOND) / facts.prefillLayerTokensPerSecond
         : layers * options.stepMsPerLayer;
     if (work > 0) {
       await sleep(work * slow);
     }
-    if (own && body.token !== PREFILL_PROMPT) {
+    if (own && body.token !== PREFILL_TOKEN_INDEX) {
       const { request, attempt, token } = body;
       ledger.record({
         request,
@@ -116,7 +114,7 @@
     }
   }
 
-  /** Runs the stage and those behind it; gives the token, made by the last one. */
+  /** Runs this stage and the later ones; returns the token, which the last stage computes. */
   async function runStage(body: ForwardBody): Promise<string> {
     await runLayers(body);
     const nextIndex = body.stage + 1;
@@ -124,8 +122,8 @@
     if (!next) {
       return computeToken(body.seed, Math.max(0, body.token));
     }
-    const answer = await postForward(next, { ...body, stage: nextIndex });
-    return answer;
+    const token = await postForward(next, { ...body, stage: nextIndex });
+    return token;
   }
 
   async function postForward(next: ForwardBody['stages'][number], body: ForwardBody) {
@@ -153,7 +151,7 @@
     return parsed.token;
   }
 
-  function isHeld(body: Pick<ForwardBody, 'variant' | 'stages'>, stage: number): boolean {
+  function holdsStage(body: Pick<ForwardBody, 'variant' | 'stages'>, stage: number): boolean {
     const own = body.stages[stage];
     return (
       holding !== null &&
@@ -173,16 +171,24 @@
     const end = Math.min(length, body.maxTokens);
     const start = body.resumeTokens.length;
     const { request, attempt, variant, stages } = body;
-    const pass = { request, attempt, variant, stages, stage: 0, seed, crashText: body.prompt };
+    const forwardFields = {
+      request,
+      attempt,
+      variant,
+      stages,
+      stage: 0,
+      seed,
+      crashText: body.prompt,
+    };
     const prefillTokens = Math.ceil(body.prompt.length / 4) + start;
     await write({
       type: 'ack',
       variant,
       stages: stages.map(({ engine, layers }) => ({ engine, layers })),
     });
-    await runStage({ ...pass, token: PREFILL_PROMPT, prefillTokens });
+    await runStage({ ...forwardFields, token: PREFILL_TOKEN_INDEX, prefillTokens });
     for (let index = start; index < end; index++) {
-      const token = await runStage({ ...pass, token: index, prefillTokens: 0 });
+      const token = await runStage({ ...forwardFields, token: index, prefillTokens: 0 });
       await waitWhileHanging();
       if (!(await write({ type: 'token', index, token }))) {
         return;
@@ -191,9 +197,9 @@
     await write({ type: 'end', reason: length <= body.maxTokens ? 'stop' : 'length', tokens: end });
   }
 
-  /** Writes frames, with back pressure and the faults that concern frames. */
+  /** Creates a frame writer that waits under backpressure and applies the faults for frames. */
   function createFrameWriter(reply: FastifyReply) {
-    let held: string | null = null;
+    let delayedText: string | null = null;
     return async (frame: EngineFrame): Promise<boolean> => {
       const { raw } = reply;
       if (raw.destroyed || raw.writableEnded) {
@@ -203,13 +209,13 @@
       if (frame.type === 'token') {
         text += faults.consume('duplicate-frames') ? text : '';
         text = faults.consume('garbage') ? 'not a frame {\n' : text;
-        if (held === null && faults.consume('reorder-frames')) {
-          held = text;
+        if (delayedText === null && faults.consume('reorder-frames')) {
+          delayedText = text;
           return true;
         }
       }
-      text += held ?? '';
-      held = null;
+      text += delayedText ?? '';
+      delayedText = null;
       if (!raw.write(text)) {
         await Promise.race([once(raw, 'drain'), once(raw, 'close')]);
       }
@@ -218,7 +224,7 @@
   }
 
   async function handleGenerate(body: GenerateBody, reply: FastifyReply): Promise<unknown> {
-    if (!isHeld(body, 0)) {
+    if (!holdsStage(body, 0)) {
       return reply.code(STATUS_MISMATCH).send({ notRun: true, holding });
     }
     if (running >= facts.maxBatch) {
@@ -241,7 +247,7 @@
   }
 
   async function handleForward(body: ForwardBody, reply: FastifyReply): Promise<unknown> {
-    if (!isHeld(body, body.stage)) {
+    if (!holdsStage(body, body.stage)) {
       return reply.code(STATUS_MISMATCH).send({ engine: facts.id, status: STATUS_MISMATCH });
     }
     try {
--- a/packages/stand-ins/src/StandInEngineProtocol.ts
+++ b/packages/stand-ins/src/StandInEngineProtocol.ts
@@ -1,9 +1,9 @@
-/** The engines' protocol: what an entry instance and the stages of a chain send each other. */
+/** Engine protocol: messages between an entry instance and the stages of a chain. */
 import { z } from 'zod';
 
 const layersSchema = z.strictObject({ first: z.int().min(0), end: z.int().positive() });
 
-/** A stage with the address at which the stage before it finds it. */
+/** A stage and the address at which the previous stage connects to it. */
 export const wireStageSchema = z.strictObject({
   engine: z.string(),
   layers: layersSchema,
@@ -39,9 +39,9 @@
   stages: z.array(wireStageSchema).min(1),
   stage: z.int().positive(),
   seed: z.int(),
-  /** Token that is being made, or -1 while the prompt is read. */
+  /** Index of the token to compute, or -1 during prefill. */
   token: z.int(),
-  /** Tokens of the prompt and of the answer so far, while they are read. */
+  /** Number of tokens to prefill: the prompt and the answer so far. 0 while decoding. */
   prefillTokens: z.int().min(0),
   crashText: z.string(),
 });
@@ -50,7 +50,7 @@
 export type GenerateBody = z.output<typeof generateSchema>;
 export type ForwardBody = z.output<typeof forwardSchema>;
 
-/** Lines of the answer to `POST /v1/generate`, one JSON value a line. */
+/** Frames of the response to `POST /v1/generate`, sent as newline-delimited JSON. */
 export type EngineFrame =
   | {
       readonly type: 'ack';
@@ -61,9 +61,9 @@
   | { readonly type: 'end'; readonly reason: 'stop' | 'length'; readonly tokens: number }
   | { readonly type: 'failed'; readonly engine: string; readonly status: number | null };
 
-/** Body of `POST /v1/orders`: the state that the engine shall reach. */
+/** Body of `POST /v1/orders`: the state that the engine is to reach. */
 export const orderSchema = z.strictObject({
-  /** Fencing number; engines that check refuse one lower than the highest seen. */
+  /** Fencing number; engines that check it refuse one below the highest they have seen. */
   number: z.int().min(0),
   want: z
     .strictObject({
@@ -74,7 +74,7 @@
       duty: z.enum(['mixed', 'prefill', 'decode']),
     })
     .nullable(),
-  /** The engine drops the order if it could not start on it by then. */
+  /** The engine drops the order if it cannot start it within this time. */
   validForMs: z.number().positive(),
 });
 
--- a/packages/stand-ins/src/StandInFaults.ts
+++ b/packages/stand-ins/src/StandInFaults.ts
@@ -1,7 +1,10 @@
-/** Faults that a stand-in is told to show, each for a while or for a number of times. */
+/** Faults injected into a stand-in, limited by duration, by number of uses, or not at all. */
 import { z } from 'zod';
 
-/** Body of `POST /faults`. `ms` bounds it in time, `count` in uses; the first to run out ends it. */
+/**
+ * Body of `POST /faults`. `ms` limits the fault's duration and `count` its uses; the limit reached first
+ * ends it.
+ */
 export const faultSchema = z.strictObject({
   kind: z.enum([
     'crash',
@@ -20,9 +23,12 @@
   ]),
   ms: z.number().positive().optional(),
   count: z.int().positive().optional(),
-  /** For `slow`: how many times slower, or the added milliseconds of a platform call. */
+  /**
+   * For `slow`: multiplier of an engine's or service's time, or milliseconds added to a platform call.
+   * For `late-effect` and `lagging-list`: the delay in milliseconds.
+   */
   factor: z.number().positive().optional(),
-  /** For `crash-on`: text in a prompt that crashes the engine. */
+  /** For `crash-on`: a prompt that contains this text crashes the engine. */
   text: z.string().min(1).optional(),
 });
 
@@ -35,16 +41,16 @@
   usesLeft: number;
 }
 
-/** The faults of one stand-in. */
+/** Active faults of one stand-in. */
 export interface FaultInjector {
   set(fault: Fault): void;
-  /** The fault if it is on; uses one of its counts. */
+  /** Returns the fault if it is active, and counts one use of it. */
   consume(kind: FaultKind): Fault | null;
   isActive(kind: FaultKind): boolean;
   clear(): void;
 }
 
-/** Creates a board with no fault on it; `now` gives milliseconds. */
+/** Creates an injector without active faults; `now` returns milliseconds. */
 export function createFaultInjector(now: () => number): FaultInjector {
   const active = new Map<FaultKind, ActiveFault>();
 
--- a/packages/stand-ins/src/StandInLedger.ts
+++ b/packages/stand-ins/src/StandInLedger.ts
@@ -1,4 +1,4 @@
-/** What a stand-in ran, kept so that checks can count layers and effects. */
+/** Record of what a stand-in executed, for checks that count layer passes and side effects. */
 import type { LayerRange } from '@skylarksail/core/CoreTypes';
 
 /** One pass of one token through one engine's layers. */
@@ -8,11 +8,11 @@
   readonly token: number;
   readonly engine: string;
   readonly layers: LayerRange;
-  /** Milliseconds since 1970 when it ended, by the machine's clock. */
+  /** End of the pass in Unix milliseconds, by the machine's clock. */
   readonly at: number;
 }
 
-/** One call that a plain service carried out. */
+/** One call that a plain service executed. */
 export interface ServiceEffect {
   readonly request: string;
   readonly attempt: number;
@@ -21,7 +21,7 @@
   readonly key: string | null;
 }
 
-/** Keeps the newest entries up to a bound and counts what it let go. */
+/** Keeps the newest entries up to a bound and counts the dropped ones. */
 export interface Ledger<T> {
   record(entry: T): void;
   read(): { readonly entries: readonly T[]; readonly dropped: number };
@@ -49,27 +49,30 @@
   };
 }
 
-/** What is wrong with the passes of one request, in words; empty if nothing is. */
+/**
+ * Describes each violation in the passes of one request: layers that ran out of order, and delivered tokens
+ * that no attempt ran through all layers.
+ */
 export function findLayerViolations(
   passes: readonly LayerPass[],
   layerCount: number,
   deliveredTokens: number,
 ): string[] {
-  const byToken = new Map<string, LayerPass[]>();
+  const passesByToken = new Map<string, LayerPass[]>();
   const faults: string[] = [];
   const complete = new Set<number>();
   for (const pass of [...passes].sort((a, b) => a.at - b.at)) {
     const key = `${pass.attempt}/${pass.token}`;
-    byToken.set(key, [...(byToken.get(key) ?? []), pass]);
+    passesByToken.set(key, [...(passesByToken.get(key) ?? []), pass]);
   }
-  for (const [key, tokenPasses] of byToken) {
-    let covered = 0;
+  for (const [key, tokenPasses] of passesByToken) {
+    let layersDone = 0;
     for (const { layers, token } of tokenPasses) {
-      if (layers.first !== covered) {
-        faults.push(`attempt/token ${key}: layer ${layers.first} ran after ${covered} layers`);
+      if (layers.first !== layersDone) {
+        faults.push(`attempt/token ${key}: layer ${layers.first} ran after ${layersDone} layers`);
       }
-      covered = layers.end;
-      if (covered === layerCount) {
+      layersDone = layers.end;
+      if (layersDone === layerCount) {
         complete.add(token);
       }
     }
--- a/packages/stand-ins/src/StandInMain.ts
+++ b/packages/stand-ins/src/StandInMain.ts
@@ -1,4 +1,4 @@
-/** Runs stand-ins as a process of their own: `stand-in engines|services|platform SPEC`. */
+/** Runs stand-ins in a separate process: `stand-in engines|services|platform SPEC`. */
 import { Argument, Command } from 'commander';
 import type { HostPort } from '@skylarksail/core/CoreTypes';
 import { startStandInEngine } from './StandInEngine.js';
@@ -11,13 +11,13 @@
 const KINDS = ['engines', 'services', 'platform'] as const;
 type Kind = (typeof KINDS)[number];
 
-/** Line that the process prints when all its stand-ins listen. */
+/** Line printed to standard output once all stand-ins of the process listen. */
 export interface StandInReady {
   readonly ready: true;
   readonly addresses: readonly { readonly id: string; readonly address: HostPort }[];
 }
 
-/** Starts the stand-ins of one process; SPEC is the JSON of their options. */
+/** Starts the stand-ins of one process; SPEC is their options as JSON. */
 export async function runStandIn(argv: readonly string[]): Promise<void> {
   const program = new Command('stand-in')
     .description('Small fakes of the outside systems, for the demo and the benches.')
--- a/packages/stand-ins/src/StandInModel.ts
+++ b/packages/stand-ins/src/StandInModel.ts
@@ -1,11 +1,14 @@
-/** The stand-in's language model: the answer depends on the prompt alone, so any change shows. */
+/**
+ * Language model of the stand-in engine. The answer depends on the prompt alone, so that checks detect any
+ * changed token.
+ */
 import { hash32 } from '@skylarksail/core/CoreHash';
 
 const WORDS = ['apple', 'onion', 'deposit', 'letter', 'price', 'school', 'truck', 'note'] as const;
-const SHORTEST_ANSWER = 12;
-const ANSWER_SPREAD = 24;
+const MIN_ANSWER_LENGTH = 12;
+const ANSWER_LENGTH_RANGE = 24;
 
-/** Number that stands for a prompt in the messages between stages. */
+/** Hash that replaces the prompt in messages between stages. */
 export function computePromptSeed(prompt: string): number {
   return hash32(prompt);
 }
@@ -16,13 +19,15 @@
   return `${index === 0 ? '' : ' '}${word}-${index}`;
 }
 
-/** Tokens that the model would give if nothing limited it; a prompt may ask with `tokens=N`. */
+/** Number of tokens in the answer before any limit; a prompt can set it with `tokens=N`. */
 export function computeAnswerLength(prompt: string): number {
-  const asked = /\btokens=(\d{1,5})\b/.exec(prompt);
-  return asked ? Number(asked[1]) : SHORTEST_ANSWER + (computePromptSeed(prompt) % ANSWER_SPREAD);
+  const requested = /\btokens=(\d{1,5})\b/.exec(prompt);
+  return requested
+    ? Number(requested[1])
+    : MIN_ANSWER_LENGTH + (computePromptSeed(prompt) % ANSWER_LENGTH_RANGE);
 }
 
-/** The whole answer to a prompt, for checks. */
+/** Computes the complete answer to a prompt, for checks. */
 export function computeAnswer(
   prompt: string,
   maxTokens: number,
@@ -34,7 +39,7 @@
   return { text, tokens, reason: length <= maxTokens ? 'stop' : 'length' };
 }
 
-/** How the daemon writes chat messages as one prompt; checks rely on it. */
+/** Renders chat messages as one prompt in the same way as the daemon; checks rely on the match. */
 export function renderPrompt(
   messages: readonly { readonly role: string; readonly content: string }[],
 ): string {
--- a/packages/stand-ins/src/StandInPlatform.ts
+++ b/packages/stand-ins/src/StandInPlatform.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the platform: key-value service with compare-and-swap, leases and long watches, the
- * lagging instance list and the rate-limited weight store. It counts each call, a waiting watch as one.
+ * Stand-in for the platform: a key-value store with compare-and-swap, leases and long polls, and an
+ * instance list that lags. It counts calls by kind; a long poll counts once.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { FastifyInstance, FastifyReply } from 'fastify';
@@ -14,13 +14,12 @@
 const STATUS_TOO_LARGE = 413;
 const STATUS_HELD = 423;
 const STATUS_LAPSED = 410;
-const LAG_HISTORY = 64;
+const LIST_HISTORY_LENGTH = 64;
 
-/** What the stand-in platform is. */
 export interface StandInPlatformOptions {
   readonly host: string;
   readonly port: number;
-  /** How far the instance list lags behind. */
+  /** Delay until a change appears in the instance list. */
   readonly listLagMs: number;
 }
 
@@ -28,7 +27,7 @@
   readonly server: StandInServer;
 }
 
-interface Stored {
+interface StoredValue {
   readonly revision: number;
   readonly value: string;
 }
@@ -37,13 +36,13 @@
   readonly holder: string;
   readonly fencing: number;
   readonly ttlMs: number;
-  readonly lapsesAt: number;
+  readonly expiresAt: number;
 }
 
-const swapSchema = z.strictObject({ expected: z.int().min(0), value: z.string() });
+const compareAndSwapSchema = z.strictObject({ expected: z.int().min(0), value: z.string() });
 const leaseSchema = z.strictObject({ holder: z.string().min(1), ttlMs: z.number().positive() });
 const fencingSchema = z.strictObject({ holder: z.string().min(1), fencing: z.int() });
-const recordSchema = z.strictObject({
+const instanceSchema = z.strictObject({
   id: z.string(),
   role: z.enum(['entry', 'engine', 'service']),
   domain: z.string(),
@@ -53,23 +52,23 @@
   state: z.enum(['live', 'leaving']),
 });
 
-type ListedInstance = z.output<typeof recordSchema>;
+type ListedInstance = z.output<typeof instanceSchema>;
 
 export async function startStandInPlatform(
   options: StandInPlatformOptions,
 ): Promise<StandInPlatform> {
   const faults = createFaultInjector(() => performance.now());
-  const values = new Map<string, Stored>();
+  const values = new Map<string, StoredValue>();
   const leases = new Map<string, Lease>();
-  const fencings = new Map<string, number>();
-  const wakers = new Map<string, Set<() => void>>();
+  const fencingNumbers = new Map<string, number>();
+  const watchersByKey = new Map<string, Set<() => void>>();
   const calls = { reads: 0, writes: 0, watches: 0, leases: 0, lists: 0 };
   let instances = new Map<string, ListedInstance>();
   let listHistory: { readonly at: number; readonly list: readonly ListedInstance[] }[] = [];
-  let revisions = 0;
+  let lastRevision = 0;
 
-  /** Stands between a call and its effect or answer; true if the call is to be cut off. */
-  async function passFaults(): Promise<boolean> {
+  /** Applies faults before a call takes effect; true if the connection must be closed unanswered. */
+  async function applyFaults(): Promise<boolean> {
     const slow = faults.consume('slow');
     if (slow) {
       await sleep(slow.factor ?? 1000);
@@ -77,7 +76,7 @@
     return faults.consume('outage') !== null;
   }
 
-  function hideAnswer(reply: FastifyReply): boolean {
+  function dropAnswer(reply: FastifyReply): boolean {
     if (!faults.consume('drop-answer')) {
       return false;
     }
@@ -85,27 +84,27 @@
     return true;
   }
 
-  function wake(key: string): void {
-    wakers.get(key)?.forEach((listener) => listener());
-    wakers.delete(key);
+  function notifyWatchers(key: string): void {
+    watchersByKey.get(key)?.forEach((listener) => listener());
+    watchersByKey.delete(key);
   }
 
-  function readEntry(key: string): Stored {
+  function readEntry(key: string): StoredValue {
     return values.get(key) ?? { revision: 0, value: '' };
   }
 
-  function writeEntry(key: string, expected: number, value: string | null): Stored | null {
+  function writeEntry(key: string, expected: number, value: string | null): StoredValue | null {
     if (readEntry(key).revision !== expected) {
       return null;
     }
-    revisions += 1;
-    const stored = { revision: revisions, value: value ?? '' };
+    lastRevision += 1;
+    const stored = { revision: lastRevision, value: value ?? '' };
     if (value === null) {
       values.delete(key);
     } else {
       values.set(key, stored);
     }
-    wake(key);
+    notifyWatchers(key);
     return stored;
   }
 
@@ -114,8 +113,8 @@
       return;
     }
     await new Promise<void>((resolve) => {
-      const listeners = wakers.get(key) ?? new Set();
-      wakers.set(key, listeners);
+      const listeners = watchersByKey.get(key) ?? new Set();
+      watchersByKey.set(key, listeners);
       const timer = setTimeout(() => {
         listeners.delete(done);
         resolve();
@@ -130,12 +129,12 @@
 
   function readLease(key: string): Lease | null {
     const lease = leases.get(key);
-    return lease && lease.lapsesAt > performance.now() ? lease : null;
+    return lease && lease.expiresAt > performance.now() ? lease : null;
   }
 
-  function recordList(): void {
+  function saveListSnapshot(): void {
     listHistory = [
-      ...listHistory.slice(-LAG_HISTORY),
+      ...listHistory.slice(-LIST_HISTORY_LENGTH),
       { at: performance.now(), list: [...instances.values()] },
     ];
   }
@@ -145,8 +144,8 @@
       ? (faults.consume('lagging-list')?.factor ?? options.listLagMs)
       : options.listLagMs;
     const limit = performance.now() - lag;
-    const old = listHistory.filter(({ at }) => at <= limit).at(-1);
-    return old?.list ?? listHistory[0]?.list ?? [];
+    const snapshot = listHistory.filter(({ at }) => at <= limit).at(-1);
+    return snapshot?.list ?? listHistory[0]?.list ?? [];
   }
 
   function registerKeyRoutes(app: FastifyInstance): void {
@@ -156,7 +155,7 @@
         const key = req.params['*'];
         const { known, waitMs } = req.query;
         calls[known === undefined ? 'reads' : 'watches'] += 1;
-        if (await passFaults()) {
+        if (await applyFaults()) {
           return reply.raw.destroy();
         }
         if (known !== undefined) {
@@ -170,10 +169,10 @@
     );
     app.put<{ Params: { '*': string } }>('/v1/kv/*', async (req, reply) => {
       calls.writes += 1;
-      if (await passFaults()) {
+      if (await applyFaults()) {
         return reply.raw.destroy();
       }
-      const { expected, value } = swapSchema.parse(req.body);
+      const { expected, value } = compareAndSwapSchema.parse(req.body);
       if (Buffer.byteLength(value) > VALUE_LIMIT_BYTES) {
         return reply.code(STATUS_TOO_LARGE).send({});
       }
@@ -184,7 +183,7 @@
         return reply.raw.destroy();
       }
       const stored = writeEntry(key, expected, value);
-      if (hideAnswer(reply)) {
+      if (dropAnswer(reply)) {
         return reply;
       }
       return stored
@@ -195,7 +194,7 @@
       '/v1/kv/*',
       async (req, reply) => {
         calls.writes += 1;
-        if (await passFaults()) {
+        if (await applyFaults()) {
           return reply.raw.destroy();
         }
         const key = req.params['*'];
@@ -207,7 +206,7 @@
     );
     app.get<{ Querystring: { prefix: string } }>('/v1/keys', async (req, reply) => {
       calls.lists += 1;
-      if (await passFaults()) {
+      if (await applyFaults()) {
         return reply.raw.destroy();
       }
       const keys = [...values.keys()].filter((key) => key.startsWith(req.query.prefix)).sort();
@@ -218,7 +217,7 @@
   function registerLeaseRoutes(app: FastifyInstance): void {
     app.post<{ Params: { '*': string } }>('/v1/leases/*', async (req, reply) => {
       calls.leases += 1;
-      if (await passFaults()) {
+      if (await applyFaults()) {
         return reply.raw.destroy();
       }
       const key = req.params['*'];
@@ -227,14 +226,14 @@
       if (current && current.holder !== holder) {
         return reply.code(STATUS_HELD).send({ holder: current.holder });
       }
-      const fencing = (fencings.get(key) ?? 0) + 1;
-      fencings.set(key, fencing);
-      leases.set(key, { holder, fencing, ttlMs, lapsesAt: performance.now() + ttlMs });
-      return hideAnswer(reply) ? reply : reply.send({ key, holder, fencing, ttl: ttlMs });
+      const fencing = (fencingNumbers.get(key) ?? 0) + 1;
+      fencingNumbers.set(key, fencing);
+      leases.set(key, { holder, fencing, ttlMs, expiresAt: performance.now() + ttlMs });
+      return dropAnswer(reply) ? reply : reply.send({ key, holder, fencing, ttl: ttlMs });
     });
     app.put<{ Params: { '*': string } }>('/v1/leases/*', async (req, reply) => {
       calls.leases += 1;
-      if (await passFaults()) {
+      if (await applyFaults()) {
         return reply.raw.destroy();
       }
       const key = req.params['*'];
@@ -243,14 +242,14 @@
       if (!current || current.holder !== holder || current.fencing !== fencing) {
         return reply.code(STATUS_LAPSED).send({});
       }
-      leases.set(key, { ...current, lapsesAt: performance.now() + current.ttlMs });
-      return hideAnswer(reply) ? reply : reply.send({ key, holder, fencing, ttl: current.ttlMs });
+      leases.set(key, { ...current, expiresAt: performance.now() + current.ttlMs });
+      return dropAnswer(reply) ? reply : reply.send({ key, holder, fencing, ttl: current.ttlMs });
     });
     app.delete<{ Params: { '*': string }; Querystring: { holder: string; fencing: string } }>(
       '/v1/leases/*',
       async (req, reply) => {
         calls.leases += 1;
-        if (await passFaults()) {
+        if (await applyFaults()) {
           return reply.raw.destroy();
         }
         const current = readLease(req.params['*']);
@@ -268,20 +267,20 @@
   function registerInstanceRoutes(app: FastifyInstance): void {
     app.get('/v1/instances', async (_req, reply) => {
       calls.lists += 1;
-      if (await passFaults()) {
+      if (await applyFaults()) {
         return reply.raw.destroy();
       }
       return reply.send({ instances: readLaggingList() });
     });
     app.post('/v1/instances', (req, reply) => {
-      const record = recordSchema.parse(req.body);
+      const record = instanceSchema.parse(req.body);
       instances = new Map(instances).set(record.id, record);
-      recordList();
+      saveListSnapshot();
       return reply.send({});
     });
     app.delete<{ Params: { id: string } }>('/v1/instances/:id', (req, reply) => {
       instances = new Map([...instances].filter(([id]) => id !== req.params.id));
-      recordList();
+      saveListSnapshot();
       return reply.send({});
     });
   }
--- a/packages/stand-ins/src/StandInServer.ts
+++ b/packages/stand-ins/src/StandInServer.ts
@@ -1,4 +1,4 @@
-/** What all stand-ins share: an HTTP server that can crash and come back on the same port. */
+/** HTTP server shared by all stand-ins; it can crash and restart on the same port. */
 import fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
 import type { HostPort } from '@skylarksail/core/CoreTypes';
@@ -7,24 +7,22 @@
 
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
 
-/** A running stand-in. */
 export interface StandInServer {
   readonly address: HostPort;
-  /** Cuts every connection and refuses new ones for `downMs`, or for good. */
+  /** Closes all connections and refuses new ones for `downMs`, or permanently if null. */
   crash(downMs: number | null): Promise<void>;
   close(): Promise<void>;
 }
 
-/** How a stand-in is served. */
 export interface StandInServerOptions {
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose a port. */
   readonly port: number;
   readonly faults: FaultInjector;
   readonly registerRoutes: (app: FastifyInstance) => void;
   readonly readLedger: () => unknown;
   readonly onFault?: (fault: Fault) => void;
-  /** Called after each start, the first included. */
+  /** Called after each start, including the first. */
   readonly onStart?: () => void;
 }
 
--- a/packages/stand-ins/src/StandInService.ts
+++ b/packages/stand-ins/src/StandInService.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a plain service: counts what it carries out and answers with the count. */
+/** Stand-in for a plain service: counts the calls it executes and responds with the count. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import { createFaultInjector } from './StandInFaults.js';
@@ -9,7 +9,6 @@
 
 const HANG_POLL_MS = 50;
 
-/** What a stand-in service is. */
 export interface StandInServiceOptions {
   readonly id: string;
   readonly host: string;
@@ -17,7 +16,6 @@
   readonly workMs: number;
 }
 
-/** A running stand-in service. */
 export interface StandInService {
   readonly server: StandInServer;
   readonly ledger: Ledger<ServiceEffect>;
--- a/packages/stand-ins/src/VirtualEngine.ts
+++ b/packages/stand-ins/src/VirtualEngine.ts
@@ -1,8 +1,8 @@
 /**
  * A virtual engine: continuous batching in virtual time, with limited KV memory, a prefix cache, and
- * faults. A step takes decode tokens up to the batch limit and some prompt tokens, and costs
- * `depth * ((FIXED * maxBatch + (1 - FIXED) * tokens) / decodeRate + promptTokens / prefillRate)`
- * seconds, so that a full step of decode tokens runs at the decode rate.
+ * faults. A step takes decode tokens up to the batch limit and some prompt tokens. It lasts
+ * `layers * ((FIXED * maxBatch + (1 - FIXED) * tokens) / decodeRate + promptTokens / prefillRate)`
+ * seconds, where FIXED is `FIXED_STEP_SHARE`. A full step of decode tokens thus runs at the decode rate.
  */
 import { getPriorityRank, LifeState, MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { LifeStateName } from '@skylarksail/core/CoreConstants';
@@ -11,16 +11,16 @@
 import type { EngineId, Millis, RequestId } from '@skylarksail/core/CoreTypes';
 import type { VirtualWorkItem, VirtualRun } from './VirtualRun.js';
 
-/** Share of a full step's time that a step costs however few tokens it has. */
+/** Fraction of a full step's time that a step takes regardless of its number of tokens. */
 const FIXED_STEP_SHARE = 0.3;
-/** Prompt tokens that one step takes at the most, so that decode tokens need not wait long. */
+/** A step takes no further prefill items after this many tokens, to bound the delay of decode tokens. */
 const PREFILL_TOKENS_PER_STEP = 64;
-/** Calls that may wait for KV memory, as a multiple of the batch. */
-const WAITING_BATCHES = 4;
+/** Maximum number of runs that wait for KV memory, as a multiple of the batch limit. */
+const MAX_WAITING_BATCHES = 4;
 const KV_RETAINED_MS = 3000;
 const PREFIX_CACHE_SHARE = 0.1;
 
-/** How a virtual engine works, for faults and tests. */
+/** Failure mode of a virtual engine. */
 export type VirtualFault =
   | { readonly kind: 'none' }
   | { readonly kind: 'crashed' }
@@ -38,7 +38,7 @@
 
   private boot = 1;
 
-  private life: LifeStateName = LifeState.Live;
+  private lifeState: LifeStateName = LifeState.Live;
 
   private leavingSince = Infinity;
 
@@ -48,13 +48,13 @@
 
   private waiting: WaitingRun[] = [];
 
-  private stepping = false;
+  private isStepping = false;
 
   private usedLayerTokens = 0;
 
   private readonly admitted = new Map<VirtualRun, number>();
 
-  private readonly retained = new Map<RequestId, { tokens: number; until: Millis }>();
+  private readonly retainedContexts = new Map<RequestId, { tokens: number; until: Millis }>();
 
   private readonly prefixes = new Map<string, number>();
 
@@ -77,7 +77,7 @@
     return this.fault.kind === 'hung';
   }
 
-  /** Time since which the engine is leaving, or Infinity. */
+  /** Time at which the engine began to leave, or Infinity. */
   get leavingAt(): Millis {
     return this.leavingSince;
   }
@@ -91,28 +91,28 @@
   }
 
   setLeaving(): void {
-    this.life = LifeState.Leaving;
+    this.lifeState = LifeState.Leaving;
     this.leavingSince = this.timers.now();
   }
 
-  /** Sets a fault or clears it. A crash forgets everything; what comes after it is a new process. */
+  /** Sets or clears a fault. A crash drops all state; the engine recovers as a new process. */
   setFault(fault: VirtualFault): void {
     if (this.isCrashed && fault.kind !== 'crashed') {
       this.boot += 1;
     }
     this.fault = fault;
     if (fault.kind === 'crashed') {
-      this.forgetAll();
+      this.clearState();
     }
-    this.planStep();
+    this.scheduleStep();
   }
 
-  /** What the engine would report now. */
+  /** Load that the engine reports at this time. */
   readLoad(): EngineLoad {
     return {
       engine: this.facts.id,
       bootId: `${this.facts.id}-${this.boot}`,
-      state: this.life,
+      state: this.lifeState,
       holding: this.currentHolding,
       running: this.admitted.size,
       queued: this.waiting.length,
@@ -121,14 +121,14 @@
     };
   }
 
-  /** Prefixes that the cache holds, oldest use first. */
+  /** Keys of the cached prefixes, least recently used first. */
   readPrefixes(): readonly string[] {
     return [...this.prefixes.keys()];
   }
 
-  /** Reserves KV memory for a run, at once or when some is free; false if too many wait. */
+  /** Reserves KV memory for a run, now or once enough is free; false if too many runs wait. */
   admit(run: VirtualRun, onAdmitted: () => void): boolean {
-    if (this.waiting.length >= WAITING_BATCHES * this.facts.maxBatch) {
+    if (this.waiting.length >= MAX_WAITING_BATCHES * this.facts.maxBatch) {
       return false;
     }
     insertByPriority(this.waiting, { run, onAdmitted }, (entry) => entry.run);
@@ -136,9 +136,9 @@
     return true;
   }
 
-  /** Tokens of the run's context that the engine holds: of an earlier attempt, or a shared prefix. */
+  /** Number of the run's context tokens cached from an earlier attempt or a shared prefix. */
   countCachedTokens(run: VirtualRun): number {
-    const kept = this.retained.get(run.call.request);
+    const kept = this.retainedContexts.get(run.call.request);
     if (kept && kept.until >= this.timers.now()) {
       return Math.min(kept.tokens, run.contextTokens);
     }
@@ -146,7 +146,7 @@
     return (prefixKey !== null && this.prefixes.get(prefixKey)) || 0;
   }
 
-  /** Frees a run's memory; its KV cache stays exportable for a while. */
+  /** Frees a run's memory; its KV cache can still be exported for `KV_RETAINED_MS`. */
   release(run: VirtualRun): void {
     const reserved = this.admitted.get(run);
     this.waiting = this.waiting.filter((entry) => entry.run !== run);
@@ -156,8 +156,11 @@
     this.admitted.delete(run);
     this.usedLayerTokens -= reserved;
     const until = this.timers.now() + KV_RETAINED_MS;
-    this.retained.set(run.call.request, { tokens: run.prompt.tokens + run.tokenCount, until });
-    this.timers.registerTimeout(KV_RETAINED_MS, () => this.dropRetained(run.call.request));
+    this.retainedContexts.set(run.call.request, {
+      tokens: run.prompt.tokens + run.tokenCount,
+      until,
+    });
+    this.timers.registerTimeout(KV_RETAINED_MS, () => this.dropExpiredContext(run.call.request));
     this.admitWaiting();
   }
 
@@ -170,17 +173,17 @@
     } else {
       this.decodes.push(item);
     }
-    this.planStep();
+    this.scheduleStep();
   }
 
-  private get depth(): number {
+  private get layerCount(): number {
     return this.currentHolding.layers.end - this.currentHolding.layers.first;
   }
 
   private admitWaiting(): void {
     while (this.waiting.length > 0) {
       const { run, onAdmitted } = this.waiting[0] as WaitingRun;
-      const reserved = run.kvTokens * depthOf(run, this.facts.id);
+      const reserved = run.kvTokens * getRunLayerCount(run, this.facts.id);
       if (this.usedLayerTokens + reserved > this.facts.kvLayerTokens) {
         return;
       }
@@ -191,13 +194,13 @@
     }
   }
 
-  /** Starts a step after all that arrives at this very time, so that it makes one batch. */
-  private planStep(): void {
-    if (this.stepping || this.isHung || this.isCrashed) {
+  /** Schedules a step after all events due now, so that items enqueued at the same time share a batch. */
+  private scheduleStep(): void {
+    if (this.isStepping || this.isHung || this.isCrashed) {
       return;
     }
     if (this.decodes.length + this.prefills.length > 0) {
-      this.stepping = true;
+      this.isStepping = true;
       const { boot } = this;
       this.timers.registerTimeout(0, () => this.runStep(boot));
     }
@@ -212,7 +215,7 @@
     const decodes = this.decodes.splice(0, this.facts.maxBatch);
     const prefills = this.takePrefills();
     if (decodes.length + prefills.length === 0) {
-      this.stepping = false;
+      this.isStepping = false;
       return;
     }
     const items = prefills.length > 0 ? [...decodes, ...prefills] : decodes;
@@ -223,20 +226,20 @@
     if (boot !== this.boot || this.isCrashed) {
       return;
     }
-    this.stepping = false;
+    this.isStepping = false;
     if (this.isHung) {
-      // What the step had taken is not lost, should the engine come back.
+      // Requeues the step's items, so that the engine computes them if the hang ends.
       this.decodes.unshift(...items.filter(({ prefill }) => !prefill));
       this.prefills.unshift(...items.filter(({ prefill }) => prefill));
       return;
     }
     for (const item of items) {
       if (item.prefill) {
-        this.rememberPrefix(item);
+        this.cachePrefix(item);
       }
     }
     this.onComputed(this, items);
-    this.planStep();
+    this.scheduleStep();
   }
 
   private takePrefills(): readonly VirtualWorkItem[] {
@@ -252,7 +255,7 @@
 
   private getStepTime(items: readonly VirtualWorkItem[]): Millis {
     const { decodeLayerTokensPerSecond, prefillLayerTokensPerSecond, maxBatch } = this.facts;
-    let decode = FIXED_STEP_SHARE * maxBatch * this.depth;
+    let decode = FIXED_STEP_SHARE * maxBatch * this.layerCount;
     let prompt = 0;
     for (const item of items) {
       const work = item.run.countTokensToCompute(item) * item.run.getLayerCount(item.stage);
@@ -267,7 +270,7 @@
     return seconds * factor * MILLIS_PER_SECOND;
   }
 
-  private rememberPrefix({ run, end }: VirtualWorkItem): void {
+  private cachePrefix({ run, end }: VirtualWorkItem): void {
     const { prefixKey, prefixTokens } = run.prompt;
     if (prefixKey === null || end < prefixTokens) {
       return;
@@ -280,7 +283,7 @@
   }
 
   private evictPrefixes(): void {
-    const limit = (PREFIX_CACHE_SHARE * this.facts.kvLayerTokens) / this.depth;
+    const limit = (PREFIX_CACHE_SHARE * this.facts.kvLayerTokens) / this.layerCount;
     let tokens = [...this.prefixes.values()].reduce((sum, n) => sum + n, 0);
     for (const [key, n] of this.prefixes) {
       if (tokens <= limit) {
@@ -291,32 +294,32 @@
     }
   }
 
-  private dropRetained(request: RequestId): void {
-    const kept = this.retained.get(request);
+  private dropExpiredContext(request: RequestId): void {
+    const kept = this.retainedContexts.get(request);
     if (kept && kept.until <= this.timers.now()) {
-      this.retained.delete(request);
+      this.retainedContexts.delete(request);
     }
   }
 
-  private forgetAll(): void {
+  private clearState(): void {
     this.boot += 1;
-    this.stepping = false;
+    this.isStepping = false;
     this.decodes = [];
     this.prefills = [];
     this.waiting = [];
     this.usedLayerTokens = 0;
     this.admitted.clear();
-    this.retained.clear();
+    this.retainedContexts.clear();
     this.prefixes.clear();
   }
 }
 
-/** Layers that a run uses of an engine. */
-function depthOf(run: VirtualRun, engine: EngineId): number {
+/** Number of an engine's layers that a run uses. */
+function getRunLayerCount(run: VirtualRun, engine: EngineId): number {
   return run.getLayerCount(run.call.chain.stages.findIndex((stage) => stage.engine === engine));
 }
 
-/** Puts an entry behind all of the same or a higher priority. */
+/** Inserts an entry after all entries of the same or a higher priority. */
 function insertByPriority<T>(queue: T[], entry: T, getRun: (entry: T) => VirtualRun): void {
   const rank = getPriorityRank(getRun(entry).call.priority);
   let at = queue.length;
--- a/packages/stand-ins/src/VirtualFleet.ts
+++ b/packages/stand-ins/src/VirtualFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet of virtual engines behind the port `OpenEngineCall`, for benches and tests: engines
- * with speed, memory and layers, links with delay and rate, faults, and a ledger of what ran.
+ * Virtual engines behind the `OpenEngineCall` port, for benchmarks and tests. The fleet simulates engine
+ * speed, memory and layer ranges, link delays and rates, and faults, and counts what ran.
  */
 import type { EngineFacts, EngineLoad, Holding } from '@skylarksail/core/CoreEngine';
 import { invariant } from '@skylarksail/core/CoreErrors';
@@ -29,9 +29,9 @@
   readonly timers: TimerService;
   readonly engines: readonly VirtualEngineSpec[];
   readonly getLink: GetVirtualLink;
-  /** Bytes of one token's activations between two stages. */
+  /** Size of one token's activations, which a stage sends to the next, in bytes. */
   readonly activationBytes: number;
-  /** Bytes of one token's KV cache in one layer. */
+  /** Size of one token's KV cache per layer, in bytes. */
   readonly kvBytesPerLayer: number;
   /** Delay between an entry instance and an engine. */
   readonly entryDelayMs: Millis;
@@ -39,32 +39,32 @@
   readonly createToken: (call: EngineCall, index: number) => string;
   /** Whether a request crashes the engine that first computes it. */
   readonly isPoison: (call: EngineCall) => boolean;
-  /** Hears of each attempt that an engine takes up, and of each pass of tokens through its layers. */
+  /** Called for each attempt that an engine accepts and each pass of tokens through its layers. */
   readonly onRecord?: (record: VirtualRecord) => void;
 }
 
-/** One thing that an engine did, for checks of whole histories. */
-export type VirtualRecord = VirtualRecordPlace &
+/** An event at an engine, for checks of complete histories. */
+export type VirtualRecord = VirtualRecordSource &
   (
     | { readonly kind: 'taken' }
-    /** Tokens up to position `end` of the sequence, exclusive, passed these layers. */
+    /** These layers ran the sequence's tokens up to position `end`, exclusive. */
     | { readonly kind: 'pass'; readonly end: number; readonly layers: LayerRange }
   );
 
-interface VirtualRecordPlace {
+interface VirtualRecordSource {
   readonly engine: EngineId;
   readonly request: RequestId;
   readonly attempt: number;
 }
 
-/** What ran, for the checks of tests and benches. */
+/** Counts of what ran, for the checks of tests and benchmarks. */
 export interface VirtualLedger {
   readonly tokens: number;
-  /** Tokens that met a stage out of the order of layers. */
+  /** Work items that reached a stage out of layer order. */
   readonly layerOrderViolations: number;
-  /** Attempts that an engine took up more than 3 s after it began to leave. */
+  /** Attempts that an engine received more than 3 s after it began to leave. */
   readonly acceptedWhileLeaving: number;
-  /** Attempts that were computed on, by request. */
+  /** Number of started attempts by request. */
   readonly started: ReadonlyMap<RequestId, number>;
 }
 
@@ -123,7 +123,7 @@
     run.call.chain.stages.forEach(({ engine }) => engines.get(engine)?.release(run));
   }
 
-  /** Asks one stage after the other to take the run; the last one starts it. */
+  /** Requests admission at this stage, then at the later ones; starts the run after the last. */
   function admitStage(run: VirtualRun, stage: number): void {
     const wanted = run.call.chain.stages[stage];
     if (!run.isOpen) {
@@ -150,16 +150,18 @@
     if (timers.now() > engine.leavingAt + LEAVING_GRACE_MS) {
       acceptedWhileLeaving += 1;
     }
-    const taken = engine.admit(run, () => hop(run, stage, () => admitStage(run, stage + 1)));
-    if (taken) {
-      options.onRecord?.({ kind: 'taken', ...getPlace(engine, run) });
+    const isAdmitted = engine.admit(run, () =>
+      sendToNextStage(run, stage, () => admitStage(run, stage + 1)),
+    );
+    if (isAdmitted) {
+      options.onRecord?.({ kind: 'taken', ...getRecordSource(engine, run) });
     } else {
       failRun(run, createFailure(FailurePlace.Refused, wanted.engine, STATUS_TOO_MANY, true));
     }
   }
 
   /** Sends a small message from a stage to the next one. */
-  function hop(run: VirtualRun, stage: number, onArrived: () => void): void {
+  function sendToNextStage(run: VirtualRun, stage: number, onArrived: () => void): void {
     const from = getStageEngine(run, stage);
     const to = getStageEngine(run, stage + 1);
     if (from && to) {
@@ -173,25 +175,27 @@
     const { request, chain } = run.call;
     started.set(request, (started.get(request) ?? 0) + 1);
     timers.registerTimeout(options.entryDelayMs, () => run.acknowledge());
-    const held = chain.stages.map((stage) => getEngine(stage.engine).countCachedTokens(run));
-    importKv(run, held, (known) => {
-      run.setCachedTokens(known);
+    const cachedTokens = chain.stages.map((stage) =>
+      getEngine(stage.engine).countCachedTokens(run),
+    );
+    importKv(run, cachedTokens, (cachedByStage) => {
+      run.setCachedTokens(cachedByStage);
       sendPrefill(run);
     });
   }
 
-  /** Brings in what other engines hold of the KV cache, then goes on with what each stage holds. */
+  /** Imports KV cache from other engines, then reports the number of cached tokens per stage. */
   function importKv(
     run: VirtualRun,
-    held: readonly number[],
-    onKnown: (held: readonly number[]) => void,
+    cachedTokens: readonly number[],
+    onImported: (cachedTokens: readonly number[]) => void,
   ): void {
-    const known = [...held];
+    const cachedByStage = [...cachedTokens];
     let pending = 1;
-    function arrive(): void {
+    function finishTransfer(): void {
       pending -= 1;
       if (pending === 0) {
-        onKnown(known);
+        onImported(cachedByStage);
       }
     }
     run.call.chain.stages.forEach((stage, i) => {
@@ -202,19 +206,19 @@
           layers.end === stage.layers.end,
       );
       const exporter = source && engines.get(source.engine);
-      const found = exporter && !exporter.isHung ? exporter.countCachedTokens(run) : 0;
-      if (!exporter || found <= (held[i] ?? 0)) {
+      const exportable = exporter && !exporter.isHung ? exporter.countCachedTokens(run) : 0;
+      if (!exporter || exportable <= (cachedTokens[i] ?? 0)) {
         return;
       }
       pending += 1;
-      const depth = stage.layers.end - stage.layers.first;
-      const bytes = found * depth * options.kvBytesPerLayer;
+      const layerCount = stage.layers.end - stage.layers.first;
+      const bytes = exportable * layerCount * options.kvBytesPerLayer;
       links.send(exporter.facts, getEngine(stage.engine).facts, bytes, () => {
-        known[i] = found;
-        arrive();
+        cachedByStage[i] = exportable;
+        finishTransfer();
       });
     });
-    arrive();
+    finishTransfer();
   }
 
   function sendPrefill(run: VirtualRun): void {
@@ -230,20 +234,20 @@
   }
 
   function handleComputed(engine: VirtualEngine, items: readonly VirtualWorkItem[]): void {
-    const poison = items.find(({ run }) => run.isOpen && options.isPoison(run.call));
-    if (poison) {
+    const poisonItem = items.find(({ run }) => run.isOpen && options.isPoison(run.call));
+    if (poisonItem) {
       crash(engine);
       return;
     }
     items.forEach((item) => {
       if (item.run.isOpen) {
-        passOn(engine, item);
+        forwardItem(engine, item);
       }
     });
   }
 
-  /** Sends an item that a stage has computed to the next stage, or gives its token. */
-  function passOn(engine: VirtualEngine, item: VirtualWorkItem): void {
+  /** Forwards a computed item to the next stage, or emits its token after the last stage. */
+  function forwardItem(engine: VirtualEngine, item: VirtualWorkItem): void {
     const { run, stage } = item;
     const layers = run.call.chain.stages[stage]?.layers;
     if (!layers || layers.first !== item.layer) {
@@ -251,20 +255,20 @@
       return;
     }
     const { start, end, prefill } = item;
-    options.onRecord?.({ kind: 'pass', ...getPlace(engine, run), end, layers });
-    const moved = { run, stage: stage + 1, start, end, layer: layers.end, prefill };
+    options.onRecord?.({ kind: 'pass', ...getRecordSource(engine, run), end, layers });
+    const nextItem = { run, stage: stage + 1, start, end, layer: layers.end, prefill };
     const next = getStageEngine(run, stage + 1);
     if (!next) {
-      finishToken(engine, moved);
+      finishToken(engine, nextItem);
       return;
     }
     const isLast = end === run.contextTokens;
-    if (prefill && !isLast && run.countTokensToCompute(moved) === 0) {
+    if (prefill && !isLast && run.countTokensToCompute(nextItem) === 0) {
       return;
     }
-    const count = Math.max(1, run.countTokensToCompute(moved));
+    const count = Math.max(1, run.countTokensToCompute(nextItem));
     links.send(engine.facts, next.facts, count * options.activationBytes, () =>
-      next.enqueue(moved),
+      next.enqueue(nextItem),
     );
   }
 
@@ -286,7 +290,10 @@
     }
   }
 
-  /** Crashes an engine; the callers of its runs hear of it from the first stage. */
+  /**
+   * Crashes an engine and fails its runs. The caller sees a broken stream if it was the first stage, and
+   * a failure reported by the first stage otherwise.
+   */
   function crash(engine: VirtualEngine): void {
     const { id } = engine.facts;
     const { runs } = engine;
@@ -313,7 +320,12 @@
       return engine.isCrashed || engine.isHung ? null : engine.readLoad();
     },
     readPrefixes: (id) => getEngine(id).readPrefixes(),
-    readLedger: () => ({ tokens, layerOrderViolations: layerFaults, acceptedWhileLeaving, started }),
+    readLedger: () => ({
+      tokens,
+      layerOrderViolations: layerFaults,
+      acceptedWhileLeaving,
+      started,
+    }),
     setFault(id, fault) {
       if (fault.kind === 'crashed') {
         crash(getEngine(id));
@@ -340,7 +352,7 @@
   );
 }
 
-function getPlace(engine: VirtualEngine, { call }: VirtualRun): VirtualRecordPlace {
+function getRecordSource(engine: VirtualEngine, { call }: VirtualRun): VirtualRecordSource {
   return { engine: engine.facts.id, request: call.request, attempt: call.attempt };
 }
 
--- a/packages/stand-ins/src/VirtualLinks.ts
+++ b/packages/stand-ins/src/VirtualLinks.ts
@@ -1,10 +1,10 @@
-/** Virtual links: a delay, a rate that transfers share in turn, and faults. */
+/** Virtual links with a delay, a rate that serves transfers one after another, and faults. */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 
-/** The way between two engines. A null key means that nothing limits its rate. */
+/** Link between two engines. Links with the same key share its rate; a null key means no limit. */
 export interface VirtualLink {
   readonly key: string | null;
   readonly bytesPerSecond: number;
@@ -13,20 +13,20 @@
 
 export type GetVirtualLink = (from: EngineFacts, to: EngineFacts) => VirtualLink;
 
-/** Decides what a link does to a transfer now: its rate divided by `factor`, or nothing arrives. */
+/** Fault of a link: its rate is divided by `factor`, or nothing arrives. */
 export type VirtualLinkFault = { readonly factor: number } | { readonly cut: true };
 
-/** The fault of the way between two engines, or null. */
+/** Returns the current fault of the link between two engines, or null. */
 export type GetLinkFault = (from: EngineFacts, to: EngineFacts) => VirtualLinkFault | null;
 
 export interface VirtualLinks {
-  /** Sends `bytes`; `onArrived` is called when they are there, or never if the link is cut. */
+  /** Sends `bytes`; `onArrived` is called when they arrive, or never if the link is cut. */
   send(from: EngineFacts, to: EngineFacts, bytes: number, onArrived: () => void): void;
-  /** Sets how links fail from now on; null mends them. */
+  /** Sets the link faults for transfers sent from now on; null clears them. */
   setFault(getFault: GetLinkFault | null): void;
 }
 
-/** Arrivals nearer than this happen at once, which spares a timer. */
+/** Shorter delays are treated as zero, which avoids a timer. */
 const IMMEDIATE_MS = 0.001;
 
 export function createVirtualLinks(timers: TimerService, getLink: GetVirtualLink): VirtualLinks {
--- a/packages/stand-ins/src/VirtualRun.ts
+++ b/packages/stand-ins/src/VirtualRun.ts
@@ -1,39 +1,39 @@
-/** One attempt on a chain of virtual engines: where its tokens are and what it has yet to prefill. */
+/** One attempt on a chain of virtual engines: its progress and what each stage must prefill. */
 import type {
   AttemptFailure,
   EngineCall,
   EngineCallListener,
 } from '@skylarksail/requests/RequestPorts';
 
-/** What a virtual engine reads from a prompt. */
+/** Properties of a prompt that virtual engines use. */
 export interface VirtualPrompt {
   readonly tokens: number;
-  /** Prefix that other prompts share, or null. */
+  /** Key of a prefix shared with other prompts, or null. */
   readonly prefixKey: string | null;
   readonly prefixTokens: number;
 }
 
-/** Tokens `[start, end)` of a sequence on their way through a stage. */
+/** Tokens `[start, end)` of a sequence, to be computed by a stage. */
 export interface VirtualWorkItem {
   readonly run: VirtualRun;
   readonly stage: number;
   readonly start: number;
   readonly end: number;
-  /** Layers that have run for these tokens. */
+  /** Number of layers that have run for these tokens. */
   readonly layer: number;
   readonly prefill: boolean;
 }
 
 export class VirtualRun {
-  /** Tokens that the KV cache must hold before the next new token: prompt and resumed tokens. */
+  /** Number of tokens to cache before the first new one: the prompt and the resumed tokens. */
   readonly contextTokens: number;
 
   private open = true;
 
   private produced: number;
 
-  /** By stage: tokens at the end of the context that the stage has to prefill. */
-  private needs: readonly number[] = [];
+  /** Per stage: number of tokens at the end of the context that it must prefill. */
+  private tokensToPrefill: readonly number[] = [];
 
   constructor(
     readonly call: EngineCall,
@@ -49,7 +49,7 @@
     return this.open;
   }
 
-  /** Tokens that the sequence may come to hold. */
+  /** Maximum length of the sequence in tokens, for which KV memory is reserved. */
   get kvTokens(): number {
     return this.prompt.tokens + this.call.maxTokens;
   }
@@ -59,31 +59,31 @@
   }
 
   /**
-   * Takes what each stage already holds of the context. A stage needs the activations of every token
-   * that a stage behind it misses, so what is missing there must run here too.
+   * Sets how many context tokens each stage has cached. A stage must also compute the tokens that a
+   * later stage lacks, because the later stage needs their activations.
    */
   setCachedTokens(held: readonly number[]): void {
     let need = 1;
-    const needs = held.map(() => 1);
+    const tokensToPrefill = held.map(() => 1);
     for (let i = held.length - 1; i >= 0; i--) {
       need = Math.max(need, this.contextTokens - (held[i] ?? 0));
-      needs[i] = need;
+      tokensToPrefill[i] = need;
     }
-    this.needs = needs;
+    this.tokensToPrefill = tokensToPrefill;
   }
 
-  /** Layers that a stage runs. */
+  /** Number of layers that a stage runs. */
   getLayerCount(stage: number): number {
     const layers = this.call.chain.stages[stage]?.layers;
     return layers ? layers.end - layers.first : 0;
   }
 
-  /** Tokens of an item that the stage must compute; the others are in its cache. */
+  /** Number of an item's tokens that the stage must compute; the others are in its cache. */
   countTokensToCompute({ stage, start, end, prefill }: VirtualWorkItem): number {
     if (!prefill) {
       return end - start;
     }
-    const from = this.contextTokens - (this.needs[stage] ?? 0);
+    const from = this.contextTokens - (this.tokensToPrefill[stage] ?? 0);
     return Math.max(0, end - Math.max(start, from));
   }
 
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Gives the next token; true if it was the last one. */
+  /** Emits the next token; true if it is the last one. */
   emitToken(text: string): boolean {
     const index = this.produced;
     this.produced += 1;
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Ends the attempt without a word to the listener; false if it had already ended. */
+  /** Ends the attempt without notifying the listener; false if it has already ended. */
   close(): boolean {
     if (!this.open) {
       return false;
--- a/packages/stand-ins/src/__tests__/unit/VirtualFleet.test.ts
+++ b/packages/stand-ins/src/__tests__/unit/VirtualFleet.test.ts
@@ -39,7 +39,7 @@
   ];
   const chain = createChain(VARIANT, 20, stages);
   if (!chain.ok) {
-    throw new Error('the stages form a chain');
+    throw new Error('the stages must form a chain');
   }
   return {
     request: 'r1',
@@ -70,26 +70,26 @@
     createToken: (_call, index) => `t${index}`,
     isPoison: () => false,
   });
-  const heard: string[] = [];
+  const events: string[] = [];
   const tokens: string[] = [];
   function open(call: EngineCall) {
     return fleet.open(call, {
-      onAcknowledged: () => heard.push('acknowledged'),
+      onAcknowledged: () => events.push('acknowledged'),
       onToken: (index, token) => tokens.push(`${index}${token}`),
-      onEnd: (reason, count) => heard.push(`${reason} ${count}`),
+      onEnd: (reason, count) => events.push(`${reason} ${count}`),
       onFailure: ({ place, engine, provenNotRun }) =>
-        heard.push(`${place} ${engine} ${provenNotRun}`),
+        events.push(`${place} ${engine} ${provenNotRun}`),
     });
   }
-  return { timers, fleet, heard, tokens, open };
+  return { timers, fleet, events, tokens, open };
 }
 
 describe('VirtualFleet', () => {
-  it('runs every layer once for each token and frees what it held', () => {
-    const { timers, fleet, heard, tokens, open } = createHarness();
+  it('runs every layer once per token and releases the run afterwards', () => {
+    const { timers, fleet, events, tokens, open } = createHarness();
     open(createCall({}, ['a', 'b']));
     timers.advanceTo(5000);
-    expect(heard).to.deep.equal(['acknowledged', 'length 20']);
+    expect(events).to.deep.equal(['acknowledged', 'length 20']);
     expect(tokens).to.deep.equal(Array.from({ length: 20 }, (_, i) => `${i}t${i}`));
     expect(fleet.readLedger()).to.include({ tokens: 20, layerOrderViolations: 0 });
     expect(fleet.readLoads().map(({ running, kvUsed }) => running + kvUsed)).to.deep.equal([
@@ -97,28 +97,28 @@
     ]);
   });
 
-  // Symptom: after a stage's death the same answer went on, but its cost told nothing of recovery.
-  // Sequence: stage b dies in mid-answer; the call is resumed on c, which must prefill its layers.
-  // Cause: a fake that forgets nothing, or everything, makes every way to recover look the same.
-  it('tells of a dead stage and prefills only what the resumed chain misses', () => {
-    const { timers, fleet, heard, tokens, open } = createHarness();
+  // Guards against a fake that answers correctly after a crash but misstates the cost of recovery: if it kept
+  // all cached state, or none, every recovery strategy would cost the same. Stage b crashes mid-answer, and
+  // the call resumes on c, which must prefill its layers.
+  it('reports a crashed stage and prefills only the tokens that the resumed chain lacks', () => {
+    const { timers, fleet, events, tokens, open } = createHarness();
     open(createCall({}, ['a', 'b']));
     timers.advanceTo(150);
     fleet.setFault('b', { kind: 'crashed' });
     timers.advanceTo(152);
-    expect(heard).to.deep.equal(['acknowledged', 'stage b false']);
+    expect(events).to.deep.equal(['acknowledged', 'stage b false']);
     const resumeTokens = tokens.map((token) => token.replace(/^\d+/, ''));
     open(createCall({ attempt: 2, resumeTokens }, ['a', 'c']));
     timers.advanceTo(5000);
-    expect(heard.slice(2)).to.deep.equal(['acknowledged', 'length 20']);
+    expect(events.slice(2)).to.deep.equal(['acknowledged', 'length 20']);
     expect(tokens).to.deep.equal(Array.from({ length: 20 }, (_, i) => `${i}t${i}`));
     open(createCall({ request: 'r2' }, ['a', 'b']));
     timers.advanceTo(5100);
-    expect(heard.at(-1)).to.equal('stage b true');
+    expect(events.at(-1)).to.equal('stage b true');
   });
 
-  it('keeps silent while hung and goes on afterwards', () => {
-    const { timers, fleet, heard, tokens, open } = createHarness();
+  it('emits no tokens while an engine hangs and continues afterwards', () => {
+    const { timers, fleet, events, tokens, open } = createHarness();
     open(createCall({}, ['a', 'b']));
     timers.advanceTo(150);
     fleet.setFault('b', { kind: 'hung' });
@@ -128,6 +128,6 @@
     expect(tokens).to.have.length(count);
     fleet.setFault('b', { kind: 'none' });
     timers.advanceTo(5000);
-    expect(heard).to.deep.equal(['acknowledged', 'length 20']);
+    expect(events).to.deep.equal(['acknowledged', 'length 20']);
   });
 });
