--- a/packages/bench/src/ConfigBench.ts
+++ b/packages/bench/src/ConfigBench.ts
@@ -7,15 +7,15 @@
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { SubmitOutcome } from '@skylarksail/manifest/ManifestStore';
-import type { ConfigShape, Run } from './ConfigFleet.js';
+import type { ConfigShape, FleetRun } from './ConfigFleet.js';
 import {
-  bringFaults,
+  scheduleFaults,
   CHANGE_PERIOD,
   countCalls,
-  createRun,
+  createFleetRun,
   measureInForce,
-  pass,
-  startLosses,
+  advanceTime,
+  enableLosses,
   submit,
 } from './ConfigFleet.js';
 import { createBenchManifest } from './ConfigManifests.js';
@@ -113,33 +113,33 @@
 }
 
 async function runFleet(shape: ConfigShape, options: ConfigBenchOptions): Promise<ConfigBenchLine> {
-  const run = createRun(shape, options.seed);
+  const run = createFleetRun(shape, options.seed);
   const teams = options.teams ?? DEFAULT_TEAMS;
   const changes = options.changes ?? DEFAULT_CHANGES;
   const outcomes: Promise<SubmitOutcome>[] = [];
   run.fleet.startAll();
-  await pass(run, WARM_UP);
+  await advanceTime(run, WARM_UP);
   outcomes.push(submit(run, 'first', createBenchManifest(teams, 0, 0)));
-  await pass(run, SETTLE);
-  const idle = await measure(run, () => pass(run, SETTLE));
+  await advanceTime(run, SETTLE);
+  const idle = await measure(run, () => advanceTime(run, SETTLE));
   run.record.accepted.length = 0;
-  startLosses(run);
+  enableLosses(run);
   const busy = await measure(run, async () => {
     for (let i = 1; i <= changes; i++) {
       outcomes.push(submit(run, `change-${i}`, createBenchManifest(teams, i, 0)));
       if (i % RACE_EVERY === 0) {
         outcomes.push(submit(run, `race-${i}`, createBenchManifest(teams, i, 1)));
       }
-      bringFaults(run, i);
-      await pass(run, CHANGE_PERIOD);
+      scheduleFaults(run, i);
+      await advanceTime(run, CHANGE_PERIOD);
     }
-    await pass(run, SETTLE);
+    await advanceTime(run, SETTLE);
   });
   return createLine(run, await Promise.all(outcomes), idle, busy);
 }
 
 /** Counts what happens while `work` runs. */
-async function measure(run: Run, work: () => Promise<void>): Promise<FleetTotals> {
+async function measure(run: FleetRun, work: () => Promise<void>): Promise<FleetTotals> {
   const calls = countCalls(run);
   const startedAt = run.timers.now();
   const bytes = run.countBytes();
@@ -155,7 +155,7 @@
 }
 
 function createLine(
-  run: Run,
+  run: FleetRun,
   outcomes: readonly SubmitOutcome[],
   idle: FleetTotals,
   busy: FleetTotals,
@@ -169,7 +169,7 @@
     }
   });
   const starts = build();
-  record.startTimes.forEach((time) => starts.recordValue(Math.round(time)));
+  record.startDurations.forEach((time) => starts.recordValue(Math.round(time)));
   const nodes = shape.domains * shape.perDomain;
   const idleBytes = idle.bytes / idle.seconds / nodes;
   return {
--- a/packages/bench/src/ConfigFleet.ts
+++ b/packages/bench/src/ConfigFleet.ts
@@ -65,14 +65,14 @@
   readonly applied: Map<InstanceId, { readonly revision: number; readonly at: Millis }[]>;
   /** Spans in which an instance was cut off or did not run. */
   readonly away: Map<InstanceId, AwaySpan[]>;
-  readonly startTimes: Millis[];
+  readonly startDurations: Millis[];
   /** Instances that put a lower revision into force than before. */
   readonly reverts: InstanceId[];
   readonly restarts: InstanceId[];
 }
 
 /** A fleet under way. */
-export interface Run {
+export interface FleetRun {
   readonly shape: ConfigShape;
   readonly timers: VirtualTimers;
   readonly random: Random;
@@ -92,14 +92,14 @@
     highest: new Map(),
     applied: new Map(),
     away: new Map(),
-    startTimes: [],
+    startDurations: [],
     reverts: [],
     restarts: [],
   };
 }
 
 /** Creates a fleet of which nothing runs yet. */
-export function createRun(shape: ConfigShape, seed: number): Run {
+export function createFleetRun(shape: ConfigShape, seed: number): FleetRun {
   const timers = createVirtualTimers();
   const random = createRandom(seed);
   const platform = createFakeStore({ timers, random });
@@ -116,7 +116,7 @@
     onMessage(_from, _to, message) {
       bytes += packr.pack(message).length;
     },
-    onInForce: (id, revision) => noteInForce(record, id, revision, timers.now()),
+    onInForce: (id, revision) => recordInForce(record, id, revision, timers.now()),
   });
   platform.store.registerChange(ROOT_KEY, ({ value }) => {
     const root = parseRoot(value);
@@ -149,7 +149,7 @@
 }
 
 /** Records that an instance has put a revision into force. */
-export function noteInForce(
+export function recordInForce(
   record: FleetRecord,
   id: InstanceId,
   revision: number,
@@ -162,7 +162,7 @@
     record.reverts.push(id);
   }
   if (startedAt !== undefined) {
-    record.startTimes.push(at - startedAt);
+    record.startDurations.push(at - startedAt);
     record.startedAt.delete(id);
   }
   record.highest.set(id, Math.max(highest, revision));
@@ -170,18 +170,18 @@
 }
 
 /** Lets virtual time pass. */
-export function pass({ timers }: Run, time: Millis): Promise<void> {
+export function advanceTime({ timers }: FleetRun, time: Millis): Promise<void> {
   return timers.advanceToAsync(timers.now() + time);
 }
 
 /** Calls to the platform so far, watches included. */
-export function countCalls({ platform }: Run): number {
+export function countCalls({ platform }: FleetRun): number {
   const { reads, writes } = platform.countCalls();
   return reads + writes;
 }
 
 /** Submits a manifest through an instance, as the daemon does; a cut-off one cannot reach the platform. */
-export function submit(run: Run, submissionId: string, manifest: unknown): Promise<SubmitOutcome> {
+export function submit(run: FleetRun, submissionId: string, manifest: unknown): Promise<SubmitOutcome> {
   const [via] = sampleElements(run.random, run.fleet.listRunning(), 1);
   const port = run.platform.connect(via as InstanceId);
   const ctx = {
@@ -201,13 +201,13 @@
 }
 
 /** Losses of messages, calls and answers, from now on. */
-export function startLosses({ platform, fleet }: Run): void {
+export function enableLosses({ platform, fleet }: FleetRun): void {
   platform.setFaults(PLATFORM_FAULTS);
   fleet.setLoss(MESSAGE_LOSS);
 }
 
 /** The restart, outage or cut that goes with a change. */
-export function bringFaults(run: Run, change: number): void {
+export function scheduleFaults(run: FleetRun, change: number): void {
   const { timers, random, platform, fleet } = run;
   if (change % RESTART_EVERY === 0) {
     const [id] = sampleElements(random, fleet.listRunning(), 1);
@@ -232,7 +232,7 @@
   }
 }
 
-function restart(run: Run, id: InstanceId): void {
+function restart(run: FleetRun, id: InstanceId): void {
   const { timers, fleet, record } = run;
   if (!fleet.listRunning().includes(id)) {
     return;
@@ -248,7 +248,7 @@
 }
 
 /** Notes that an instance is away; the returned function notes its return. */
-function leave({ record, timers }: Run, id: InstanceId, kind: AwaySpan['kind']): () => void {
+function leave({ record, timers }: FleetRun, id: InstanceId, kind: AwaySpan['kind']): () => void {
   const span: AwaySpan = { kind, from: timers.now(), to: Infinity };
   record.away.set(id, [...(record.away.get(id) ?? []), span]);
   return () => {
--- a/packages/bench/src/DemoCallers.ts
+++ b/packages/bench/src/DemoCallers.ts
@@ -165,7 +165,7 @@
     : describe('wrong', 'the answer is not the right one');
 }
 
-export interface ServiceCallAsk {
+export interface ServiceCall {
   readonly what: string;
   readonly callers: string;
   readonly key: string;
@@ -177,7 +177,7 @@
 }
 
 /** Calls a plain service. */
-export async function callService(call: ServiceCallAsk): Promise<CallerRecord> {
+export async function callService(call: ServiceCall): Promise<CallerRecord> {
   let requestId = '';
   const describe = (
     outcome: CallerRecord['outcome'],
--- a/packages/bench/src/IdleBench.ts
+++ b/packages/bench/src/IdleBench.ts
@@ -15,7 +15,7 @@
 import type { BackendEntry, StoreContent } from '@skylarksail/relay/RelayTypes';
 import type { BackendPorts } from '@skylarksail/relay/RelayPorts';
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
-import { BACKENDS, CONFIG_KEY, createIdleConfig, createIdleEngine } from './IdleFleet.js';
+import { KEY_PREFIX, CONFIG_KEY, createIdleConfig, createIdleEngine } from './IdleFleet.js';
 
 /** What happens while an instance is measured. */
 const IdleLoad = {
@@ -78,7 +78,7 @@
   }
 
   function putEngine(engine: BackendEntry): void {
-    store.put(`${BACKENDS}${engine.server}`, JSON.stringify(engine));
+    store.put(`${KEY_PREFIX}${engine.server}`, JSON.stringify(engine));
   }
 
   const parts = startRelayParts({
@@ -93,7 +93,7 @@
     random,
     store,
     readContent,
-    readBackendKey: (key) => (key.startsWith(BACKENDS) ? key.slice(BACKENDS.length) : null),
+    readBackendKey: (key) => (key.startsWith(KEY_PREFIX) ? key.slice(KEY_PREFIX.length) : null),
     askPeer: () => Promise.resolve({ kind: 'silent' }),
     askForUpdates: () => Promise.resolve({ kind: 'silent' }),
     askGrant: () => Promise.resolve(0),
@@ -132,7 +132,7 @@
   if (key === CONFIG_KEY) {
     return { kind: 'config', config: createIdleConfig() };
   }
-  return key.startsWith(BACKENDS)
+  return key.startsWith(KEY_PREFIX)
     ? { kind: 'backend', entry: JSON.parse(value) as BackendEntry }
     : { kind: 'other' };
 }
--- a/packages/bench/src/IdleFleet.ts
+++ b/packages/bench/src/IdleFleet.ts
@@ -3,7 +3,7 @@
 import type { PipelineFacts, RouteConfig } from '@skylarksail/routes/RouteTypes';
 
 export const CONFIG_KEY = 'config';
-export const BACKENDS = 'backends/';
+export const KEY_PREFIX = 'backends/';
 
 const SERVICE = 'letters';
 const GIB = 2 ** 30;
--- a/packages/bench/src/OverheadBench.ts
+++ b/packages/bench/src/OverheadBench.ts
@@ -9,10 +9,10 @@
 import type { PausedLine, SteadyLine } from './OverheadCases.js';
 import type { StreamTimes } from './OverheadStreams.js';
 import {
-  createDaemonAsk,
-  createDirectAsk,
-  getMillis,
-  getPid,
+  createDaemonRequest,
+  createDirectRequest,
+  getPercentileMs,
+  getDaemonPid,
   readStream,
   round,
   wait,
@@ -82,10 +82,10 @@
     },
   );
   const load = await withStack({ ...size, stepMsPerLayer: 0 }, measureLoad);
-  const firstToken = getMillis(through.first, 50);
-  const directFirstToken = getMillis(direct.first, 50);
-  const gap = getMillis(through.gap, 95);
-  const directGap = getMillis(direct.gap, 95);
+  const firstToken = getPercentileMs(through.first, 50);
+  const directFirstToken = getPercentileMs(direct.first, 50);
+  const gap = getPercentileMs(through.gap, 95);
+  const directGap = getPercentileMs(direct.gap, 95);
   print({
     bench: 'overhead',
     ...load,
@@ -114,7 +114,7 @@
 /** Closed loop of streams against engines that take no time: what the daemon's core can carry. */
 async function measureLoad(stack: Stack) {
   const agent = new Agent({ connections: STREAMS });
-  const pid = getPid(stack);
+  const pid = getDaemonPid(stack);
   let isMeasuring = false;
   let isOver = false;
   let requests = 0;
@@ -123,7 +123,7 @@
 
   async function runCaller(caller: number): Promise<void> {
     for (let i = 0; !isOver; i++) {
-      const got = await readStream(agent, createDaemonAsk(stack, LOAD_TOKENS, caller * 1000 + i));
+      const got = await readStream(agent, createDaemonRequest(stack, LOAD_TOKENS, caller * 1000 + i));
       if (isMeasuring) {
         requests += 1;
         tokens += Math.max(0, got);
@@ -162,8 +162,8 @@
   const through = { first: build(), gap: build() };
   const direct = { first: build(), gap: build() };
   for (let i = 0; i < LATENCY_CALLS; i++) {
-    await readStream(agent, createDaemonAsk(stack, LATENCY_TOKENS, i), () => through);
-    await readStream(agent, createDirectAsk(stack, LATENCY_TOKENS, i), () => direct);
+    await readStream(agent, createDaemonRequest(stack, LATENCY_TOKENS, i), () => through);
+    await readStream(agent, createDirectRequest(stack, LATENCY_TOKENS, i), () => direct);
   }
   await agent.close();
   return { through, direct };
--- a/packages/bench/src/OverheadCases.ts
+++ b/packages/bench/src/OverheadCases.ts
@@ -5,7 +5,7 @@
 import { build } from 'hdr-histogram-js';
 import { Agent } from 'undici';
 import type { StreamTimes } from './OverheadStreams.js';
-import { createDaemonAsk, getMillis, getPid, readStream, round, wait } from './OverheadStreams.js';
+import { createDaemonRequest, getPercentileMs, getDaemonPid, readStream, round, wait } from './OverheadStreams.js';
 import { readCpuSeconds, readResidentBytes } from './BenchProcess.js';
 import type { Stack } from './StackLauncher.js';
 
@@ -69,7 +69,7 @@
   };
 
   async function run(number: number): Promise<void> {
-    const ask = createDaemonAsk(stack, tokensEach, number);
+    const ask = createDaemonRequest(stack, tokensEach, number);
     while (!isOver) {
       const got = await readStream(agent, ask, getTimes, countTokens).catch(() => -1);
       short += isOver || got === tokensEach ? 0 : 1;
@@ -103,7 +103,7 @@
   counts: readonly number[],
   print: (line: SteadyLine) => void,
 ): Promise<readonly SteadyLine[]> {
-  const pid = getPid(stack);
+  const pid = getDaemonPid(stack);
   const crowd = createCrowd(stack, STEADY_TOKENS);
   const lines: SteadyLine[] = [];
   let started = 0;
@@ -130,7 +130,7 @@
       tokens_s: round(counted.tokens / seconds),
       daemon_cores: round(cpu / seconds),
       us_per_token: round((cpu * 1e6) / counted.tokens),
-      gap_p95_ms: getMillis(counted.times.gap, 95),
+      gap_p95_ms: getPercentileMs(counted.times.gap, 95),
       stream_bytes: Math.round((readResidentBytes(pid) - idleBytes) / count),
       short: crowd.getShort(),
     };
@@ -143,7 +143,7 @@
 
 /** Readers alone, then beside callers that ask for long answers and read none of them. */
 export async function measurePausedReaders(stack: Stack): Promise<PausedLine> {
-  const pid = getPid(stack);
+  const pid = getDaemonPid(stack);
   const crowd = createCrowd(stack, READER_TOKENS);
   for (let i = 0; i < READERS; i++) {
     crowd.start();
@@ -151,7 +151,7 @@
   await wait(SETTLE_MS);
   const alone = crowd.reset();
   await wait(PAUSED_MS);
-  const gapAlone = getMillis(alone.times.gap, 95);
+  const gapAlone = getPercentileMs(alone.times.gap, 95);
   const sockets = await Promise.all(
     Array.from({ length: PAUSED_READERS }, (_, i) => openPausedReader(stack, i)),
   );
@@ -165,7 +165,7 @@
     paused: PAUSED_READERS,
     bytes_per_paused: Math.round((readResidentBytes(pid) - before) / PAUSED_READERS),
     gap_p95_alone_ms: gapAlone,
-    gap_p95_beside_ms: getMillis(beside.times.gap, 95),
+    gap_p95_beside_ms: getPercentileMs(beside.times.gap, 95),
     short: crowd.getShort(),
   };
   sockets.forEach((socket) => socket.destroy());
@@ -175,7 +175,7 @@
 
 /** Asks for a long answer on a socket of its own and never reads it. */
 async function openPausedReader(stack: Stack, number: number): Promise<Socket> {
-  const { url, headers, body } = createDaemonAsk(stack, PAUSED_TOKENS, number);
+  const { url, headers, body } = createDaemonRequest(stack, PAUSED_TOKENS, number);
   const { hostname, port, pathname } = new URL(url);
   const socket = connect(Number(port), hostname);
   socket.pause();
--- a/packages/bench/src/OverheadStreams.ts
+++ b/packages/bench/src/OverheadStreams.ts
@@ -13,7 +13,7 @@
   readonly gap: Histogram;
 }
 
-export interface StreamAsk {
+export interface StreamRequest {
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: unknown;
@@ -29,7 +29,7 @@
  */
 export async function readStream(
   agent: Agent,
-  ask: StreamAsk,
+  ask: StreamRequest,
   getTimes?: () => StreamTimes,
   onTokens?: (count: number) => void,
 ): Promise<number> {
@@ -66,7 +66,7 @@
   return res.statusCode === 200 && tail.includes(ask.endMark) ? tokens : -1;
 }
 
-export function createDaemonAsk(stack: Stack, tokens: number, number: number): StreamAsk {
+export function createDaemonRequest(stack: Stack, tokens: number, number: number): StreamRequest {
   return {
     url: `${stack.daemons[0]?.callers}/v1/chat/completions`,
     headers: {
@@ -85,7 +85,7 @@
   };
 }
 
-export function createDirectAsk(stack: Stack, tokens: number, number: number): StreamAsk {
+export function createDirectRequest(stack: Stack, tokens: number, number: number): StreamRequest {
   const engine = stack.engines[number % stack.engines.length];
   const { hostname, port } = new URL(engine?.url ?? '');
   return {
@@ -116,11 +116,11 @@
 }
 
 /** Process id of the stack's first daemon. */
-export function getPid(stack: Stack): number {
+export function getDaemonPid(stack: Stack): number {
   return stack.daemons[0]?.process.child.pid ?? 0;
 }
 
-export function getMillis(histogram: Histogram, percentile: number): number {
+export function getPercentileMs(histogram: Histogram, percentile: number): number {
   return round(histogram.getValueAtPercentile(percentile) / HISTOGRAM_UNITS_PER_MS);
 }
 
--- a/packages/bench/src/RecoveryBench.ts
+++ b/packages/bench/src/RecoveryBench.ts
@@ -14,7 +14,7 @@
 import { runPoisonBench } from './RecoveryPoison.js';
 import type { RecoveryInstance, RecoveryTallies, RequestTrace } from './RecoveryTypes.js';
 import { createRecoveryWorld } from './RecoveryWorld.js';
-import { computeBound, getWorkMeans } from './ThroughputBound.js';
+import { computeBound, getWorkloadMeans } from './ThroughputBound.js';
 import type { BenchShape } from './ThroughputShapes.js';
 import { createBenchShapes } from './ThroughputShapes.js';
 
@@ -225,10 +225,10 @@
   const injected = inject(world);
   const struck = world.traces.filter(
     // Keyed work is never run again: its callers get the truth and not the rest of the answer.
-    (trace) => wasRunning(trace, FAULT_AT) && !trace.isKeyed && injected.strikes(trace),
+    (trace) => wasRunning(trace, FAULT_AT) && !trace.isKeyed && injected.affects(trace),
   );
   await world.advanceTo(FAULT_AT + MEND_AFTER);
-  injected.mend();
+  injected.clear();
   await world.advanceTo(FAULT_AT + END_AFTER);
   const watched = struck.length > 0 ? struck : world.traces.filter(isKeyedAfterFault);
   return {
@@ -325,7 +325,7 @@
 
 function getRequestRate(shape: BenchShape, options: RecoveryOptions): number {
   const bound = computeBound(shape, () => FAST_LINK);
-  return ((options.load ?? DEFAULT_LOAD) * bound) / getWorkMeans(shape.work).answerTokens;
+  return ((options.load ?? DEFAULT_LOAD) * bound) / getWorkloadMeans(shape.work).answerTokens;
 }
 
 function getPercentile(times: readonly Millis[], percentile: number): number {
--- a/packages/bench/src/RecoveryFaults.ts
+++ b/packages/bench/src/RecoveryFaults.ts
@@ -6,9 +6,9 @@
 /** A fault that was brought about. */
 export interface InjectedFault {
   /** Whether a request that runs at the time of the fault is struck by it. */
-  readonly strikes: (trace: RequestTrace) => boolean;
+  readonly affects: (trace: RequestTrace) => boolean;
   /** Mends it; engines come back with nothing held of their work. */
-  readonly mend: () => void;
+  readonly clear: () => void;
 }
 
 /** Load that a fault wants in place of the even one. */
@@ -39,7 +39,7 @@
   'link-degraded': degradeLink,
   'instance-crash': (world) => {
     world.killInstance(0);
-    return { strikes: (trace) => trace.instance === 0, mend: () => undefined };
+    return { affects: (trace) => trace.instance === 0, clear: () => undefined };
   },
   'rack-crash': (world) => {
     const rack = getFacts(world, pickBusiest(world))?.rack;
@@ -53,7 +53,7 @@
   'domain-cut': cutDomain,
   'platform-outage': (world) => {
     world.setPlatformUp(false);
-    return { strikes: () => false, mend: () => world.setPlatformUp(true) };
+    return { affects: () => false, clear: () => world.setPlatformUp(true) };
   },
 };
 
@@ -64,8 +64,8 @@
 ): InjectedFault {
   engines.forEach((engine) => fleet.setFault(engine, fault));
   return {
-    strikes: (trace) => trace.engines.some((engine) => engines.includes(engine)),
-    mend: () => engines.forEach((engine) => fleet.setFault(engine, { kind: 'none' })),
+    affects: (trace) => trace.engines.some((engine) => engines.includes(engine)),
+    clear: () => engines.forEach((engine) => fleet.setFault(engine, { kind: 'none' })),
   };
 }
 
@@ -87,8 +87,8 @@
     from.rack === rack && to.rack !== rack && from.domain === to.domain;
   world.fleet.setLinkFault((from, to) => (isOnLink(from, to) ? { factor: LINK_FACTOR } : null));
   return {
-    strikes: (trace) => hasHop(world, trace, isOnLink),
-    mend: () => world.fleet.setLinkFault(null),
+    affects: (trace) => hasHop(world, trace, isOnLink),
+    clear: () => world.fleet.setLinkFault(null),
   };
 }
 
@@ -101,12 +101,12 @@
     (world.instances[trace.instance]?.domain === domain) !==
     (getFacts(world, engine)?.domain === domain);
   world.fleet.setLinkFault((from, to) => (isCut(from, to) ? { cut: true } : null));
-  world.setCut(domain ?? null);
+  world.setPartitionedDomain(domain ?? null);
   return {
-    strikes: (trace) => trace.engines.some((engine) => isAbroad(trace, engine)),
-    mend: () => {
+    affects: (trace) => trace.engines.some((engine) => isAbroad(trace, engine)),
+    clear: () => {
       world.fleet.setLinkFault(null);
-      world.setCut(null);
+      world.setPartitionedDomain(null);
     },
   };
 }
--- a/packages/bench/src/RecoveryTypes.ts
+++ b/packages/bench/src/RecoveryTypes.ts
@@ -49,7 +49,7 @@
   setPlatformUp(isUp: boolean): void;
   killInstance(index: number): void;
   /** Cuts a domain off from all others, engines and instances; null heals the cut. */
-  setCut(domain: string | null): void;
+  setPartitionedDomain(domain: string | null): void;
   /** Sends one request to an instance; resolves nothing, its trace tells. */
   send(prompt: string, instance: number): RequestTrace;
 }
--- a/packages/bench/src/RecoveryWorld.ts
+++ b/packages/bench/src/RecoveryWorld.ts
@@ -13,7 +13,7 @@
 import { createLinkLookup } from './BenchLinks.js';
 import type { InstanceOptions } from './RecoveryInstance.js';
 import type { RecoveryInstance, RecoveryWorld, RequestTrace } from './RecoveryTypes.js';
-import type { BenchShape, BenchWork } from './ThroughputShapes.js';
+import type { BenchShape, BenchRequestKind } from './ThroughputShapes.js';
 import { BENCH_ACTIVATION_BYTES, BENCH_VARIANT } from './ThroughputShapes.js';
 
 export interface WorldOptions {
@@ -159,7 +159,7 @@
   function submit(
     prompt: string,
     maxTokens: number,
-    priority: BenchWork['priority'],
+    priority: BenchRequestKind['priority'],
     instance: number,
     isKeyed: boolean,
   ): RequestTrace {
@@ -224,7 +224,7 @@
     trace: RequestTrace,
     prompt: string,
     maxTokens: number,
-    priority: BenchWork['priority'],
+    priority: BenchRequestKind['priority'],
   ): void {
     Object.assign(trace, {
       problem: null,
@@ -282,7 +282,7 @@
     setPlatformUp(isUp) {
       isPlatformUp = isUp;
     },
-    setCut(domain) {
+    setPartitionedDomain(domain) {
       const before = cutDomain;
       cutDomain = domain;
       timers.registerTimeout(REACH_DELAY, () => {
@@ -316,13 +316,13 @@
   return isFalse || (!trace.isKeyed && !saysNotRun && !trace.problem.startsWith('poison'));
 }
 
-function pickWork(work: readonly BenchWork[], random: Random): BenchWork {
+function pickWork(work: readonly BenchRequestKind[], random: Random): BenchRequestKind {
   let draw = random.nextFloat();
   const found = work.find(({ share }) => {
     draw -= share;
     return draw < 0;
   });
-  return found ?? (work.at(-1) as BenchWork);
+  return found ?? (work.at(-1) as BenchRequestKind);
 }
 
 function drawLength(mean: number, random: Random): number {
--- a/packages/bench/src/SoakCallers.ts
+++ b/packages/bench/src/SoakCallers.ts
@@ -5,8 +5,8 @@
 import type { CallerRecord } from './DemoCallers.js';
 import { callService, streamCompletion } from './DemoCallers.js';
 import type { SoakDaemon } from './SoakDaemons.js';
-import type { SoakOutcomeName, SoakRecord } from './SoakJudge.js';
-import { SoakOutcome } from './SoakJudge.js';
+import type { SoakOutcomeName, SoakRecord } from './SoakChecker.js';
+import { SoakOutcome } from './SoakChecker.js';
 import { STACK_TEAMS } from './StackPlan.js';
 
 export interface SoakCallerOptions {
@@ -51,7 +51,7 @@
   let count = 0;
 
   async function connect(): Promise<Connection | null> {
-    if (open && listLive().some(({ life }) => life === open?.life)) {
+    if (open && listLive().some(({ processId: life }) => life === open?.life)) {
       return open;
     }
     await open?.client.destroy();
@@ -59,7 +59,7 @@
     const chosen = live[random.nextInt(Math.max(1, live.length))];
     open = chosen
       ? {
-          life: chosen.life,
+          life: chosen.processId,
           origin: chosen.daemon.callers,
           client: new Client(chosen.daemon.callers, { keepAliveTimeout: KEEP_ALIVE }),
         }
@@ -85,7 +85,7 @@
     }
     const isSilent = heard.outcome === 'cut off' && heard.requestId === '';
     const record: SoakRecord = {
-      life: connection.life,
+      processId: connection.life,
       outcome: isSilent ? SoakOutcome.Unanswered : OUTCOMES[heard.outcome],
       startedAt,
       endedAt: now(),
--- a/packages/bench/src/SoakJudge.ts
+++ b/packages/bench/src/SoakChecker.ts
@@ -22,7 +22,7 @@
 /** A request as its caller saw it; times since the start of the callers. */
 export interface SoakRecord {
   /** Life of the daemon that it was sent to. */
-  readonly life: string;
+  readonly processId: string;
   readonly outcome: SoakOutcomeName;
   readonly startedAt: Millis;
   readonly endedAt: Millis;
@@ -36,7 +36,7 @@
 }
 
 /** One process of a daemon, from its start to its end. */
-export interface SoakLife {
+export interface SoakProcess {
   readonly id: string;
   readonly stopAt: Millis | null;
   readonly killAt: Millis | null;
@@ -47,15 +47,15 @@
 
 /** A revision that a daemon told, and one that the store acknowledged. */
 export interface SoakRevisions {
-  readonly told: readonly { readonly life: string; readonly revision: number }[];
+  readonly told: readonly { readonly processId: string; readonly revision: number }[];
   readonly accepted: number;
   /** What each daemon that lives told last, after a quiet time. */
-  readonly last: readonly { readonly life: string; readonly revision: number }[];
+  readonly last: readonly { readonly processId: string; readonly revision: number }[];
 }
 
 export interface SoakEvidence {
   readonly records: readonly SoakRecord[];
-  readonly lives: readonly SoakLife[];
+  readonly processes: readonly SoakProcess[];
   readonly effects: readonly ServiceEffect[];
   readonly passes: readonly LayerPass[];
   readonly layers: number;
@@ -68,18 +68,18 @@
 const SLACK: Millis = 500;
 
 /** What is broken, in words; empty if nothing is. */
-export function judgeSoak(evidence: SoakEvidence): readonly string[] {
+export function checkSoak(evidence: SoakEvidence): readonly string[] {
   return [
     ...evidence.records.flatMap((record) => judgeRecord(evidence, record)),
     ...judgeReceipts(evidence),
-    ...evidence.lives.flatMap((life) => judgeLife(evidence, life)),
+    ...evidence.processes.flatMap((life) => judgeLife(evidence, life)),
     ...judgeLayers(evidence),
     ...judgeRevisions(evidence.revisions),
   ];
 }
 
-function judgeRecord({ lives }: SoakEvidence, record: SoakRecord): readonly string[] {
-  const { outcome, life: id, endedAt, detail } = record;
+function judgeRecord({ processes: lives }: SoakEvidence, record: SoakRecord): readonly string[] {
+  const { outcome, processId: id, endedAt, detail } = record;
   const name = `${record.key ?? 'stream'} ${record.requestId} at ${id}, ${Math.round(endedAt)} ms: ${detail}`;
   const life = lives.find((one) => one.id === id);
   const isKilled = life?.killAt != null && life.killAt <= endedAt + SLACK;
@@ -119,7 +119,7 @@
   return faults;
 }
 
-function judgeLife({ grace }: SoakEvidence, life: SoakLife): readonly string[] {
+function judgeLife({ grace }: SoakEvidence, life: SoakProcess): readonly string[] {
   const { id, stopAt, killAt, endedAt, end } = life;
   if (endedAt !== null && stopAt === null && killAt === null) {
     return [`daemon ended by itself: ${id}, ${end}`];
@@ -146,7 +146,7 @@
 function judgeRevisions({ told, last, accepted }: SoakRevisions): readonly string[] {
   const faults: string[] = [];
   const newest = new Map<string, number>();
-  for (const { life, revision } of told) {
+  for (const { processId: life, revision } of told) {
     if (revision < (newest.get(life) ?? 0)) {
       faults.push(`went back to revision ${revision}: ${life}`);
     }
@@ -154,7 +154,7 @@
   }
   last
     .filter(({ revision }) => revision < accepted)
-    .forEach(({ life, revision }) =>
+    .forEach(({ processId: life, revision }) =>
       faults.push(`revision ${accepted} not in force, but ${revision}: ${life}`),
     );
   return faults;
--- a/packages/bench/src/SoakDaemons.ts
+++ b/packages/bench/src/SoakDaemons.ts
@@ -1,13 +1,13 @@
 /** The daemons of a soak: starts, signals and ends them, and keeps what became of each life. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
-import type { SoakLife, SoakRevisions } from './SoakJudge.js';
+import type { SoakProcess, SoakRevisions } from './SoakChecker.js';
 import type { Stack, StackDaemon } from './StackLauncher.js';
 
 type Told = SoakRevisions['told'][number];
 
 /** A daemon that was not seen to end. */
 export interface SoakDaemon {
-  readonly life: string;
+  readonly processId: string;
   readonly daemon: StackDaemon;
 }
 
@@ -21,10 +21,10 @@
   readRevisions(): Promise<readonly Told[]>;
   /** Stops all that live. */
   stopAll(): Promise<void>;
-  listLives(): readonly SoakLife[];
+  listProcesses(): readonly SoakProcess[];
 }
 
-type OpenLife = { -readonly [K in keyof SoakLife]: SoakLife[K] };
+type OpenLife = { -readonly [K in keyof SoakProcess]: SoakProcess[K] };
 
 export function createSoakDaemons(
   stack: Stack,
@@ -38,7 +38,7 @@
     const id = `${daemon.id}#${lives.filter((one) => one.id.startsWith(`${daemon.id}#`)).length}`;
     const life: OpenLife = { id, stopAt: null, killAt: null, endedAt: null, end: null };
     lives.push(life);
-    live.set(id, { life: id, daemon });
+    live.set(id, { processId: id, daemon });
     daemon.process.child.once('exit', (code, signal) => {
       life.endedAt = now();
       life.end = signal ?? String(code);
@@ -47,7 +47,7 @@
   }
 
   function choose(target: number): SoakDaemon | undefined {
-    const running = [...live.values()].filter(({ life }) => {
+    const running = [...live.values()].filter(({ processId: life }) => {
       const known = lives.find(({ id }) => id === life);
       return known?.stopAt === null && known.killAt === null;
     });
@@ -61,7 +61,7 @@
     }
   }
 
-  async function end({ life, daemon }: SoakDaemon, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
+  async function end({ processId: life, daemon }: SoakDaemon, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
     note(life, signal);
     await (signal === 'SIGTERM' ? daemon.process.stop() : daemon.process.kill());
   }
@@ -90,11 +90,11 @@
     },
     async readRevisions() {
       const told = await Promise.all(
-        [...live.values()].map(async ({ life, daemon }): Promise<readonly Told[]> => {
+        [...live.values()].map(async ({ processId: life, daemon }): Promise<readonly Told[]> => {
           try {
             const status = (await daemon.readStatus()) as { manifest?: { revision?: number } };
             const revision = status.manifest?.revision;
-            return revision === undefined ? [] : [{ life, revision }];
+            return revision === undefined ? [] : [{ processId: life, revision }];
           } catch {
             return [];
           }
@@ -105,6 +105,6 @@
     async stopAll() {
       await Promise.all([...live.values()].map((one) => end(one, 'SIGTERM')));
     },
-    listLives: () => lives,
+    listProcesses: () => lives,
   };
 }
--- a/packages/bench/src/SoakRun.ts
+++ b/packages/bench/src/SoakRun.ts
@@ -9,8 +9,8 @@
 import { runSoakCaller } from './SoakCallers.js';
 import type { SoakDaemons } from './SoakDaemons.js';
 import { createSoakDaemons } from './SoakDaemons.js';
-import type { SoakEvidence, SoakRecord, SoakRevisions } from './SoakJudge.js';
-import { judgeSoak, SoakOutcome } from './SoakJudge.js';
+import type { SoakEvidence, SoakRecord, SoakRevisions } from './SoakChecker.js';
+import { checkSoak, SoakOutcome } from './SoakChecker.js';
 import type { SoakFault, SoakOptions, SoakPlan } from './SoakPlan.js';
 import { planSoak, SoakFaultKind } from './SoakPlan.js';
 import type { Stack } from './StackLauncher.js';
@@ -51,7 +51,7 @@
   let broken: readonly string[] = ['not played to its end'];
   try {
     const evidence = await playSoak(stack, plan, options);
-    broken = judgeSoak(evidence);
+    broken = checkSoak(evidence);
     return createReport(options, plan, evidence, broken, stack.folder);
   } finally {
     await stack.stop(broken.length > 0);
@@ -101,7 +101,7 @@
   await daemons.stopAll();
   return {
     records,
-    lives: daemons.listLives(),
+    processes: daemons.listProcesses(),
     effects,
     passes,
     layers: plan.size.layers,
@@ -113,7 +113,7 @@
 function createReport(
   { seed }: SoakOptions,
   plan: SoakPlan,
-  { records, lives, revisions }: SoakEvidence,
+  { records, processes: lives, revisions }: SoakEvidence,
   broken: readonly string[],
   folder: string,
 ): SoakReport {
--- a/packages/bench/src/ThroughputBound.ts
+++ b/packages/bench/src/ThroughputBound.ts
@@ -7,7 +7,7 @@
  * the bound errs only upwards.
  */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
-import type { BenchEngine, BenchShape, BenchWork } from './ThroughputShapes.js';
+import type { BenchEngine, BenchShape, BenchRequestKind } from './ThroughputShapes.js';
 import { BENCH_ACTIVATION_BYTES } from './ThroughputShapes.js';
 
 interface Arc {
@@ -17,7 +17,7 @@
 }
 
 /** Means over a workload. */
-export interface WorkMeans {
+export interface WorkloadMeans {
   readonly answerTokens: number;
   /** Prompt tokens that no cache can hold, for each token of answer. */
   readonly ownTokensPerToken: number;
@@ -28,8 +28,8 @@
 const SINK = 'sink';
 const LEAST_AUGMENT = 1e-6;
 
-export function getWorkMeans(work: readonly BenchWork[]): WorkMeans {
-  const sum = (read: (w: BenchWork) => number) =>
+export function getWorkloadMeans(work: readonly BenchRequestKind[]): WorkloadMeans {
+  const sum = (read: (w: BenchRequestKind) => number) =>
     work.reduce((total, w) => total + w.share * read(w), 0);
   const answerTokens = sum((w) => w.answerTokens);
   return {
@@ -44,7 +44,7 @@
   shape: BenchShape,
   getRate: (from: EngineFacts, to: EngineFacts) => number,
 ): number {
-  const means = getWorkMeans(shape.work);
+  const means = getWorkloadMeans(shape.work);
   const graph = new Map<string, Arc[]>();
   shape.engines.forEach((engine) => {
     const { first, end } = engine.holding.layers;
@@ -68,7 +68,7 @@
 }
 
 /** Tokens a second of one engine at full batches, with the prefill that they bring. */
-function getTokenRate({ facts, holding }: BenchEngine, means: WorkMeans): number {
+function getTokenRate({ facts, holding }: BenchEngine, means: WorkloadMeans): number {
   const depth = holding.layers.end - holding.layers.first;
   // The first token of an answer comes out of the prefill.
   const decode = (1 - 1 / means.answerTokens) / facts.decodeLayerTokensPerSecond;
--- a/packages/bench/src/ThroughputEntry.ts
+++ b/packages/bench/src/ThroughputEntry.ts
@@ -6,13 +6,13 @@
 import type { ChainQuery } from '@skylarksail/routing/RoutingChoice';
 import type { RoutedCall } from '@skylarksail/routing/RoutingState';
 import type { BenchPolicy } from './ThroughputPolicies.js';
-import type { BenchWork } from './ThroughputShapes.js';
+import type { BenchRequestKind } from './ThroughputShapes.js';
 import { BENCH_VARIANT } from './ThroughputShapes.js';
 
 /** One request of the bench. */
 export interface BenchRequest {
   readonly id: string;
-  readonly work: BenchWork;
+  readonly work: BenchRequestKind;
   /** Text that the virtual engines read: `prefix key/prefix tokens/own tokens`. */
   readonly prompt: string;
   readonly prefixKey: string;
--- a/packages/bench/src/ThroughputLoad.ts
+++ b/packages/bench/src/ThroughputLoad.ts
@@ -5,9 +5,9 @@
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { VirtualPrompt } from '@skylarksail/stand-ins/VirtualRun';
-import { getWorkMeans } from './ThroughputBound.js';
+import { getWorkloadMeans } from './ThroughputBound.js';
 import type { BenchRequest } from './ThroughputEntry.js';
-import type { BenchShape, BenchWork } from './ThroughputShapes.js';
+import type { BenchShape, BenchRequestKind } from './ThroughputShapes.js';
 
 /** Time between tokens at which a full fleet runs. */
 export const FULL_TOKEN_GAP_MS = 65;
@@ -25,7 +25,7 @@
   entries: readonly ((req: BenchRequest) => void)[],
   random: Random,
 ): void {
-  const { answerTokens } = getWorkMeans(shape.work);
+  const { answerTokens } = getWorkloadMeans(shape.work);
   const meanGap = (MILLIS_PER_SECOND * answerTokens) / tokensPerSecond;
   let count = 0;
   function sendNext(): void {
@@ -54,7 +54,7 @@
 
 /** What is left of a request met at a random moment: long ones are met more often. */
 function createRunningRequest(
-  work: readonly BenchWork[],
+  work: readonly BenchRequestKind[],
   id: string,
   random: Random,
 ): BenchRequest {
@@ -66,7 +66,7 @@
 }
 
 function createRequest(
-  work: readonly BenchWork[],
+  work: readonly BenchRequestKind[],
   id: string,
   arrivedAt: Millis,
   random: Random,
@@ -79,7 +79,7 @@
   return { id, work: kind, prompt, prefixKey, ownTokens, answerTokens, arrivedAt };
 }
 
-function pickWork(work: readonly BenchWork[], random: Random): BenchWork {
+function pickWork(work: readonly BenchRequestKind[], random: Random): BenchRequestKind {
   let draw = random.nextFloat();
   const found = work.find(({ share }) => {
     draw -= share;
--- a/packages/bench/src/ThroughputPolicies.ts
+++ b/packages/bench/src/ThroughputPolicies.ts
@@ -70,7 +70,7 @@
   readonly own: ReadonlyMap<EngineId, number>;
 }
 
-export type PickBaseline = (
+export type PickEngine = (
   options: readonly BenchEngine[],
   view: BaselineView,
   random: Random,
@@ -80,7 +80,7 @@
 export function createBaselinePolicy(
   engines: readonly BenchEngine[],
   maxCalls: number,
-  createPick: () => PickBaseline,
+  createPick: () => PickEngine,
   random: Random,
 ): BenchPolicy {
   const reported = new Map<EngineId, number>();
@@ -119,7 +119,7 @@
   };
 }
 
-export function createRoundRobin(): PickBaseline {
+export function createRoundRobin(): PickEngine {
   let next = 0;
   return (options) => {
     next += 1;
@@ -127,12 +127,12 @@
   };
 }
 
-export function createLeastLoaded(): PickBaseline {
+export function createLeastLoaded(): PickEngine {
   return (options, { reported }) =>
     options.reduce((a, b) => (getCalls(reported, b) < getCalls(reported, a) ? b : a));
 }
 
-export function createPowerOfTwo(): PickBaseline {
+export function createPowerOfTwo(): PickEngine {
   return (options, { reported, own }, random) => {
     const a = options[random.nextInt(options.length)] as BenchEngine;
     const b = options[random.nextInt(options.length)] as BenchEngine;
--- a/packages/bench/src/ThroughputShapes.ts
+++ b/packages/bench/src/ThroughputShapes.ts
@@ -11,7 +11,7 @@
 }
 
 /** A kind of request. Lengths are drawn between half and one and a half of the mean. */
-export interface BenchWork {
+export interface BenchRequestKind {
   readonly name: string;
   /** Share of all requests. */
   readonly share: number;
@@ -30,7 +30,7 @@
   readonly links: readonly LinkFacts[];
   readonly domains: readonly string[];
   readonly instancesPerDomain: number;
-  readonly work: readonly BenchWork[];
+  readonly work: readonly BenchRequestKind[];
 }
 
 interface Accelerator {
@@ -79,13 +79,13 @@
 const DOMAIN_LINK = { bytesPerSecond: 2e8, delayMs: 0.4 };
 const SLOW_LINK = { bytesPerSecond: 2e7, delayMs: 0.3 };
 
-const SAFFRON_WORK: readonly BenchWork[] = [
+const SAFFRON_WORK: readonly BenchRequestKind[] = [
   createWork('letter', 0.4, 'low', 220, 80, 180, 6),
   createWork('question', 0.4, 'high', 120, 60, 90, 4),
   createWork('note', 0.2, 'normal', 150, 90, 120, 4),
 ];
 
-const CASCADE_WORK: readonly BenchWork[] = [
+const CASCADE_WORK: readonly BenchRequestKind[] = [
   createWork('summary', 0.4, 'normal', 300, 160, 240, 5),
   createWork('bulletin', 0.3, 'low', 250, 80, 160, 5),
   createWork('quote', 0.3, 'urgent', 80, 30, 24, 3),
@@ -210,7 +210,7 @@
   ownTokens: number,
   answerTokens: number,
   templates: number,
-): BenchWork {
+): BenchRequestKind {
   return { name, share, priority, prefixTokens, ownTokens, answerTokens, templates };
 }
 
--- a/packages/bench/src/__tests__/unit/ConfigBench.test.ts
+++ b/packages/bench/src/__tests__/unit/ConfigBench.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { runConfigBench } from '../../ConfigBench.js';
 import type { ConfigBenchLine } from '../../ConfigBench.js';
-import { createRecord, measureInForce, noteInForce } from '../../ConfigFleet.js';
+import { createRecord, measureInForce, recordInForce } from '../../ConfigFleet.js';
 
 describe('ConfigBench', () => {
   it('runs races, restarts, outages and cuts without a revert, the same for the same seed', async () => {
@@ -17,9 +17,9 @@
 
   it('counts a revert, also over a restart, and a change that never came', () => {
     const record = createRecord();
-    noteInForce(record, 'a', 2, 10);
-    noteInForce(record, 'a', 1, 20);
-    noteInForce(record, 'b', 2, 30);
+    recordInForce(record, 'a', 2, 10);
+    recordInForce(record, 'a', 1, 20);
+    recordInForce(record, 'b', 2, 30);
     expect(record.reverts).to.deep.equal(['a']);
     expect(measureInForce(record, { revision: 2, at: 5 })).to.equal(25);
     expect(measureInForce(record, { revision: 3, at: 5 })).to.equal(null);
--- a/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
+++ b/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
@@ -48,7 +48,7 @@
     const mends: (() => void)[] = [];
     for (const name of names) {
       const inject = RECOVERY_FAULTS[name];
-      mends.push(inject ? inject(world).mend : () => undefined);
+      mends.push(inject ? inject(world).clear : () => undefined);
       await world.advanceTo(world.timers.now() + 250);
     }
     await world.advanceTo(9000);
@@ -77,7 +77,7 @@
     const before = countAbroad();
     const cut = RECOVERY_FAULTS['domain-cut']?.(world);
     await world.advanceTo(12_000);
-    cut?.mend();
+    cut?.clear();
     await world.advanceTo(16_000);
     expect(before).to.be.above(20);
     expect(countAbroad()).to.be.below(before / 2);
--- a/packages/bench/src/__tests__/unit/SoakJudge.test.ts
+++ b/packages/bench/src/__tests__/unit/SoakChecker.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai';
-import type { SoakEvidence, SoakLife, SoakRecord } from '../../SoakJudge.js';
-import { judgeSoak, SoakOutcome } from '../../SoakJudge.js';
+import type { SoakEvidence, SoakProcess, SoakRecord } from '../../SoakChecker.js';
+import { checkSoak, SoakOutcome } from '../../SoakChecker.js';
 import { planSoak, SoakFaultKind } from '../../SoakPlan.js';
 
 const LAYERS = 2;
 
 function createRecord(change: Partial<SoakRecord> = {}): SoakRecord {
   return {
-    life: 'd#0',
+    processId: 'd#0',
     outcome: SoakOutcome.Answered,
     startedAt: 0,
     endedAt: 1000,
@@ -20,15 +20,15 @@
   };
 }
 
-function createLife(change: Partial<SoakLife> = {}): SoakLife {
+function createLife(change: Partial<SoakProcess> = {}): SoakProcess {
   const ended = { stopAt: 5000, killAt: null, endedAt: 6000, end: '0' };
   return { id: 'd#0', ...ended, ...change };
 }
 
 function judge(change: Partial<SoakEvidence>): readonly string[] {
-  return judgeSoak({
+  return checkSoak({
     records: [],
-    lives: [createLife()],
+    processes: [createLife()],
     effects: [],
     passes: [],
     layers: LAYERS,
@@ -57,8 +57,8 @@
     const silent = createRecord({ outcome: SoakOutcome.Unanswered });
     const receipt = createRecord({ key: 'k' });
     const notRun = createRecord({ key: 'k', outcome: SoakOutcome.Refused, run: 'not-run' });
-    const revisions = { told: [], last: [{ life: 'd#0', revision: 2 }], accepted: 3 };
-    const back = [3, 2].map((revision) => ({ life: 'd#0', revision }));
+    const revisions = { told: [], last: [{ processId: 'd#0', revision: 2 }], accepted: 3 };
+    const back = [3, 2].map((revision) => ({ processId: 'd#0', revision }));
     const pass = { request: 'r', attempt: 1, token: 0, engine: 'e', at: 1 };
     const broken: readonly [string, Partial<SoakEvidence>][] = [
       ['wrong answer', { records: [createRecord({ outcome: SoakOutcome.Wrong })] }],
@@ -68,9 +68,9 @@
       ['carried out 2 times', { records: [receipt], effects: ['k', 'k'].map(createEffect) }],
       ['answered and not carried out', { records: [receipt] }],
       ['told "not run" and carried out', { records: [notRun], effects: [createEffect('k')] }],
-      ['daemon ended by itself', { lives: [createLife({ stopAt: null, end: '1' })] }],
-      ['stop took too long', { lives: [createLife({ endedAt: 26_000 })] }],
-      ['stop ended with 1', { lives: [createLife({ end: '1' })] }],
+      ['daemon ended by itself', { processes: [createLife({ stopAt: null, end: '1' })] }],
+      ['stop took too long', { processes: [createLife({ endedAt: 26_000 })] }],
+      ['stop ended with 1', { processes: [createLife({ end: '1' })] }],
       ['revision 3 not in force', { revisions }],
       ['went back to revision 2', { revisions: { told: back, last: [], accepted: 2 } }],
       [
@@ -92,7 +92,7 @@
     const killed = createLife({ stopAt: null, killAt: 900, endedAt: 910, end: 'SIGKILL' });
     const cut = createRecord({ outcome: SoakOutcome.Cut });
     const silent = createRecord({ outcome: SoakOutcome.Unanswered });
-    expect(judge({ records: [cut, silent], lives: [killed] })).to.deep.equal([]);
+    expect(judge({ records: [cut, silent], processes: [killed] })).to.deep.equal([]);
     expect(judge({ records: [{ ...silent, endedAt: 5100 }] })).to.deep.equal([]);
   });
 });
--- a/packages/proof/src/HistoryCallers.ts
+++ b/packages/proof/src/HistoryCallers.ts
@@ -6,14 +6,14 @@
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RequestHandle, RequestProblem } from '@skylarksail/requests/RequestTypes';
 import type { HistoryInstance } from './HistoryInstance.js';
-import type { HistoryRequest, HistoryWorkName } from './HistoryPlan.js';
+import type { HistoryRequest, HistoryRequestKindName } from './HistoryPlan.js';
 import {
   HISTORY_DEADLINE,
   HISTORY_LAYERS,
   HISTORY_PROMPT_TOKENS,
   HISTORY_SERVICE,
   HISTORY_VARIANT,
-  HistoryWork,
+  HistoryRequestKind,
 } from './HistoryPlan.js';
 import type { HistoryEvent } from './HistoryTypes.js';
 
@@ -38,7 +38,7 @@
 /** What one caller wants, over all its resends. */
 interface Order {
   readonly name: string;
-  readonly work: HistoryWorkName;
+  readonly work: HistoryRequestKindName;
   readonly prompt: string;
   readonly tokens: number;
   readonly deadline: Millis;
@@ -57,22 +57,22 @@
 }
 
 /** Prompts that start so crash the engine that first computes them. */
-export const HISTORY_POISON = 'poison';
+export const HISTORY_POISON_PREFIX = 'poison';
 
-const KEYED: ReadonlySet<HistoryWorkName> = new Set([
-  HistoryWork.KeyedModel,
-  HistoryWork.KeyedWrite,
+const KEYED: ReadonlySet<HistoryRequestKindName> = new Set([
+  HistoryRequestKind.KeyedModel,
+  HistoryRequestKind.KeyedWrite,
 ]);
-const ONCE: ReadonlySet<HistoryWorkName> = new Set([
-  HistoryWork.KeyedModel,
-  HistoryWork.OnceModel,
-  HistoryWork.KeyedWrite,
-  HistoryWork.OnceWrite,
+const ONCE: ReadonlySet<HistoryRequestKindName> = new Set([
+  HistoryRequestKind.KeyedModel,
+  HistoryRequestKind.OnceModel,
+  HistoryRequestKind.KeyedWrite,
+  HistoryRequestKind.OnceWrite,
 ]);
-const SERVICE: ReadonlySet<HistoryWorkName> = new Set([
-  HistoryWork.Read,
-  HistoryWork.KeyedWrite,
-  HistoryWork.OnceWrite,
+const SERVICE: ReadonlySet<HistoryRequestKindName> = new Set([
+  HistoryRequestKind.Read,
+  HistoryRequestKind.KeyedWrite,
+  HistoryRequestKind.OnceWrite,
 ]);
 const MOST_SENDS = 3;
 const POISON_SENDS = 6;
@@ -205,7 +205,7 @@
       problem: problem.kind,
       run: problem.run,
     });
-    const isPoison = order.prompt.startsWith(HISTORY_POISON);
+    const isPoison = order.prompt.startsWith(HISTORY_POISON_PREFIX);
     const maySendAgain = isPoison || problem.run === 'not-run' || getKey(order) !== null;
     if (maySendAgain && (sends.get(order.name) ?? 0) < order.mostSends) {
       const wait = Math.min(MOST_WAIT, Math.max(RESEND_DELAY, problem.retryAfter ?? 0));
@@ -230,8 +230,8 @@
   return {
     send: (request) => send(addOrder(request, null, MOST_SENDS), request.instance),
     sendPoison(instance) {
-      const prompt = `${HISTORY_POISON}-${orders.length}`;
-      const request = { work: HistoryWork.Model, at: timers.now(), tokens: 8, instance };
+      const prompt = `${HISTORY_POISON_PREFIX}-${orders.length}`;
+      const request = { work: HistoryRequestKind.Model, at: timers.now(), tokens: 8, instance };
       send(addOrder(request, prompt, POISON_SENDS), instance);
     },
     resendOne(target) {
--- a/packages/proof/src/HistoryConditions.ts
+++ b/packages/proof/src/HistoryConditions.ts
@@ -16,11 +16,11 @@
   end(fault: HistoryFault): void;
   has(kind: HistoryFaultName): boolean;
   /** Whether such a fault strikes an engine, or an instance, now. */
-  strikesEngine(kind: HistoryFaultName, engine: EngineId): boolean;
-  strikesInstance(kind: HistoryFaultName, instance: InstanceId): boolean;
+  affectsEngine(kind: HistoryFaultName, engine: EngineId): boolean;
+  affectsInstance(kind: HistoryFaultName, instance: InstanceId): boolean;
   isDomainCut(domain: DomainId): boolean;
   /** Whether nothing passes between two domains. */
-  isApart(a: DomainId, b: DomainId): boolean;
+  arePartitioned(a: DomainId, b: DomainId): boolean;
 }
 
 /** The domain of an engine or of a plain service's server. */
@@ -49,12 +49,12 @@
       active.delete(fault);
     },
     has: (kind) => some(kind, () => true),
-    strikesEngine: (kind, engine) =>
+    affectsEngine: (kind, engine) =>
       some(kind, ({ target }) => getHistoryEngine(target).id === engine),
-    strikesInstance: (kind, instance) =>
+    affectsInstance: (kind, instance) =>
       some(kind, ({ target }) => getHistoryMember(target).id === instance),
     isDomainCut,
-    isApart: (a, b) => a !== b && (isDomainCut(a) || isDomainCut(b)),
+    arePartitioned: (a, b) => a !== b && (isDomainCut(a) || isDomainCut(b)),
   };
 }
 
@@ -69,5 +69,5 @@
   instance: InstanceId,
   server: EngineId,
 ): boolean {
-  return conditions.isApart(getInstanceDomain(instance), getServerDomain(server));
+  return conditions.arePartitioned(getInstanceDomain(instance), getServerDomain(server));
 }
--- a/packages/proof/src/HistoryFaults.ts
+++ b/packages/proof/src/HistoryFaults.ts
@@ -153,7 +153,7 @@
   const { conditions, engines, manifests, platform, timers } = world;
   const engine = getHistoryEngine(fault.target).id;
   if (ENGINE_FAULTS.some(([kind]) => kind === fault.kind)) {
-    const found = ENGINE_FAULTS.find(([kind]) => conditions.strikesEngine(kind, engine));
+    const found = ENGINE_FAULTS.find(([kind]) => conditions.affectsEngine(kind, engine));
     engines.setFault(engine, found?.[1] ?? { kind: 'none' });
   }
   if (fault.kind === HistoryFaultKind.DomainCut) {
@@ -180,7 +180,7 @@
 function tellReach({ processes, conditions }: HistoryWorld): void {
   processes.forEach(({ instance }) =>
     HISTORY_DOMAINS.filter((domain) => domain !== instance.self.domain).forEach((domain) =>
-      instance.setDomainReach(domain, !conditions.isApart(domain, instance.self.domain)),
+      instance.setDomainReach(domain, !conditions.arePartitioned(domain, instance.self.domain)),
     ),
   );
 }
@@ -191,9 +191,9 @@
   to: string,
 ): VirtualLinkFault | null {
   const strikes = (kind: HistoryFaultName): boolean =>
-    conditions.strikesEngine(kind, from) || conditions.strikesEngine(kind, to);
+    conditions.affectsEngine(kind, from) || conditions.affectsEngine(kind, to);
   const [a = '', b = ''] = [from, to].map((id) => id.split('-')[0]);
-  if (strikes(HistoryFaultKind.LinkCut) || conditions.isApart(a, b)) {
+  if (strikes(HistoryFaultKind.LinkCut) || conditions.arePartitioned(a, b)) {
     return { cut: true };
   }
   return strikes(HistoryFaultKind.LinkSlow) ? { factor: LINK_FACTOR } : null;
@@ -205,8 +205,8 @@
     .filter(
       (id) =>
         engines.readLoad(id) === null &&
-        !conditions.strikesEngine(HistoryFaultKind.EngineCrash, id) &&
-        !conditions.strikesEngine(HistoryFaultKind.EngineHang, id),
+        !conditions.affectsEngine(HistoryFaultKind.EngineCrash, id) &&
+        !conditions.affectsEngine(HistoryFaultKind.EngineHang, id),
     )
     .forEach((id) => engines.setFault(id, { kind: 'none' }));
 }
--- a/packages/proof/src/HistoryLoopback.ts
+++ b/packages/proof/src/HistoryLoopback.ts
@@ -179,7 +179,7 @@
   while (now() < startedAt + seconds * MILLIS) {
     const place = random.nextInt(MILLIS);
     work.push(
-      random.nextFloat() < RECEIPT_SHARE ? callers.sendReceipt(place) : callers.sendLetter(place),
+      random.nextFloat() < RECEIPT_SHARE ? callers.sendServiceRequest(place) : callers.sendModelRequest(place),
     );
     await sleep(SEND_GAP);
   }
--- a/packages/proof/src/HistoryLoopbackCallers.ts
+++ b/packages/proof/src/HistoryLoopbackCallers.ts
@@ -22,8 +22,8 @@
 
 /** Callers over HTTP. Each promise settles when its caller has what it wants, or gives up. */
 export interface LoopbackCallers {
-  sendLetter(place: number): Promise<void>;
-  sendReceipt(place: number): Promise<void>;
+  sendModelRequest(place: number): Promise<void>;
+  sendServiceRequest(place: number): Promise<void>;
   /** The request's name in the history by the id that its daemon gave it. */
   readonly names: ReadonlyMap<string, string>;
 }
@@ -100,7 +100,7 @@
 
   return {
     names,
-    sendLetter(place) {
+    sendModelRequest(place) {
       count += 1;
       const name = `letter-${count}`;
       const content = `${name}, tokens=${20 + (place % 60)}`;
@@ -121,7 +121,7 @@
         });
       });
     },
-    sendReceipt(place) {
+    sendServiceRequest(place) {
       count += 1;
       const name = `receipt-${count}`;
       return sendUntilServed(name, place, async (request, daemon) => {
--- a/packages/proof/src/HistoryPlan.ts
+++ b/packages/proof/src/HistoryPlan.ts
@@ -45,7 +45,7 @@
 }
 
 /** Kinds of requests: to a model or a plain service, that may or may not be repeated. */
-export const HistoryWork = {
+export const HistoryRequestKind = {
   Model: 'model',
   KeyedModel: 'keyed-model',
   OnceModel: 'once-model',
@@ -54,11 +54,11 @@
   OnceWrite: 'once-write',
 } as const;
 
-export type HistoryWorkName = (typeof HistoryWork)[keyof typeof HistoryWork];
+export type HistoryRequestKindName = (typeof HistoryRequestKind)[keyof typeof HistoryRequestKind];
 
 /** A request as its caller first sends it. */
 export interface HistoryRequest {
-  readonly work: HistoryWorkName;
+  readonly work: HistoryRequestKindName;
   readonly at: Millis;
   readonly tokens: number;
   /** Place of its instance in `HISTORY_MEMBERS`. */
--- a/packages/proof/src/HistoryWorld.ts
+++ b/packages/proof/src/HistoryWorld.ts
@@ -16,7 +16,7 @@
 import type { VirtualFleet } from '@skylarksail/stand-ins/VirtualFleet';
 import { createVirtualFleet } from '@skylarksail/stand-ins/VirtualFleet';
 import type { HistoryCallers } from './HistoryCallers.js';
-import { createHistoryCallers, createHistoryToken, HISTORY_POISON } from './HistoryCallers.js';
+import { createHistoryCallers, createHistoryToken, HISTORY_POISON_PREFIX } from './HistoryCallers.js';
 import type { HistoryConditions } from './HistoryConditions.js';
 import { createHistoryConditions, getServerDomain, isServerCut } from './HistoryConditions.js';
 import { createFaultyCalls } from './HistoryFrames.js';
@@ -92,7 +92,7 @@
     entryDelayMs: ENTRY_DELAY,
     readPrompt: () => ({ tokens: HISTORY_PROMPT_TOKENS, prefixKey: null, prefixTokens: 0 }),
     createToken: (call, index) => createHistoryToken(call.prompt, index),
-    isPoison: (call) => call.prompt.startsWith(HISTORY_POISON),
+    isPoison: (call) => call.prompt.startsWith(HISTORY_POISON_PREFIX),
     onRecord: (work) => record({ ...work, at: timers.now() }),
   });
 
@@ -104,7 +104,7 @@
     settings: { ...DEFAULT_SLOT_SETTINGS, batchInterval: 50 },
   });
   claimFleet.setLoss((from, to) =>
-    conditions.isApart(getInstanceDomain(from), getInstanceDomain(to)),
+    conditions.arePartitioned(getInstanceDomain(from), getInstanceDomain(to)),
   );
 
   const manifests = createFakeFleet({
@@ -147,7 +147,7 @@
         open: engines.open,
         timers,
         random,
-        hasFault: (kind) => conditions.strikesInstance(kind, self.id),
+        hasFault: (kind) => conditions.affectsInstance(kind, self.id),
         isCut,
         onFrame: (request, attempt, index) =>
           record({ kind: 'frame', at: timers.now(), request, attempt, index }),
@@ -191,7 +191,7 @@
     const instances = [...processes.values()].map(({ instance }) => instance);
     for (const from of instances) {
       instances
-        .filter((to) => to !== from && !conditions.isApart(from.self.domain, to.self.domain))
+        .filter((to) => to !== from && !conditions.arePartitioned(from.self.domain, to.self.domain))
         .forEach((to) => to.mergePoison(from.getPoisonDigest()));
     }
   }
--- a/packages/proof/src/__tests__/HistorySchedules.ts
+++ b/packages/proof/src/__tests__/HistorySchedules.ts
@@ -1,7 +1,7 @@
 /** Random schedules of histories, which fast-check shrinks when one fails. */
 import fc from 'fast-check';
 import type { HistoryFault, HistoryRequest, HistorySchedule } from '../HistoryPlan.js';
-import { HistoryFaultKind, HistoryWork } from '../HistoryPlan.js';
+import { HistoryFaultKind, HistoryRequestKind } from '../HistoryPlan.js';
 import type { HistoryRuleName } from '../HistoryTypes.js';
 import { HistoryRule } from '../HistoryTypes.js';
 
@@ -9,7 +9,7 @@
  * What a resend is told that is refused before its claim is looked at is an open question of the design,
  * told in docs/proof/histories.md; HISTORY_STRICT=1 holds the runs to this rule too.
  */
-export const OPEN_RULES: ReadonlySet<HistoryRuleName> = new Set(
+export const UNENFORCED_RULES: ReadonlySet<HistoryRuleName> = new Set(
   process.env.HISTORY_STRICT === '1' ? [] : [HistoryRule.TrueRunOfKey],
 );
 
@@ -32,7 +32,7 @@
 });
 
 const requests: fc.Arbitrary<HistoryRequest> = fc.record({
-  work: fc.constantFrom(...Object.values(HistoryWork)),
+  work: fc.constantFrom(...Object.values(HistoryRequestKind)),
   at: fc.integer({ min: FIRST_REQUEST, max: LAST_REQUEST }),
   tokens: fc.integer({ min: 1, max: MOST_TOKENS }),
   instance: fc.nat(2),
--- a/packages/proof/src/__tests__/unit/HistoryRuns.test.ts
+++ b/packages/proof/src/__tests__/unit/HistoryRuns.test.ts
@@ -4,7 +4,7 @@
 import { HistoryFaultKind } from '../../HistoryPlan.js';
 import { runHistory } from '../../HistoryRunner.js';
 import type { HistoryEvent } from '../../HistoryTypes.js';
-import { createScheduleArbitrary, OPEN_RULES } from '../HistorySchedules.js';
+import { createScheduleArbitrary, UNENFORCED_RULES } from '../HistorySchedules.js';
 
 const RUNS = Number(process.env.HISTORY_RUNS ?? 1002);
 const SEED = Number(process.env.HISTORY_SEED ?? 6);
@@ -32,7 +32,7 @@
           countKinds(seen, events);
           schedule.faults.forEach(({ kind }) => seen.set(kind, (seen.get(kind) ?? 0) + 1));
           const broken = checkHistory(events)
-            .filter(({ rule }) => !OPEN_RULES.has(rule))
+            .filter(({ rule }) => !UNENFORCED_RULES.has(rule))
             .map(({ rule, detail }) => `${rule}: ${detail}`);
           expect(broken.join('\n')).to.equal('');
         }),
