--- a/packages/bench/src/BenchLinks.ts
+++ b/packages/bench/src/BenchLinks.ts
@@ -1,18 +1,18 @@
-/** Costs of a bench's links, worked out once for each pair of racks. */
+/** Link costs of a bench, computed once per pair of racks. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { LinkCost } from '@skylarksail/routing/RoutingLinks';
 import { getEngineLocation, getLinkCost } from '@skylarksail/routing/RoutingLinks';
 import type { BenchShape } from './ThroughputShapes.js';
 
-/** Gives the cost of the link between two engines of a shape. */
+/** Returns a function that gives the cost of the link between two engines of a shape. */
 export function createLinkLookup(
   shape: BenchShape,
 ): (from: EngineFacts, to: EngineFacts) => LinkCost {
   const known = new Map<string, LinkCost>();
   const regions = new Map<string, string>();
   return (from, to) => {
-    const name = `${from.rack}>${to.rack}`;
-    const cached = known.get(name);
+    const key = `${from.rack}>${to.rack}`;
+    const cached = known.get(key);
     if (cached) {
       return cached;
     }
@@ -21,7 +21,7 @@
       getEngineLocation(from, regions),
       getEngineLocation(to, regions),
     );
-    known.set(name, cost);
+    known.set(key, cost);
     return cost;
   };
 }
--- a/packages/bench/src/BenchMain.ts
+++ b/packages/bench/src/BenchMain.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME`: runs one bench; each case is a JSON line, the last one is the whole. */
+/** `npm run bench -- NAME`: runs one bench; prints a JSON line per case, the last one is the summary. */
 import { Argument, Command } from 'commander';
 import { runClaimsBench } from './ClaimsBench.js';
 import { runConfigBench } from './ConfigBench.js';
@@ -11,7 +11,7 @@
 
 type Print = (line: unknown) => void;
 
-/** What the command line gives to every bench. */
+/** Command-line options that every bench gets. */
 interface BenchOptions {
   readonly seed: number;
   /** Fleet sizes, for the benches that have them. */
@@ -51,7 +51,7 @@
 
 type BenchName = keyof typeof BENCHES;
 
-/** Runs the bench that the command line names; gives the exit code. */
+/** Runs the bench named on the command line; returns the exit code. */
 export async function runBenchCommand(argv: readonly string[]): Promise<number> {
   const program = new Command('bench')
     .addArgument(new Argument('<name>', 'bench').choices(Object.keys(BENCHES)))
--- a/packages/bench/src/ClaimsBench.ts
+++ b/packages/bench/src/ClaimsBench.ts
@@ -1,6 +1,6 @@
 /**
- * What claims of keyed requests cost the platform's service, and how long they take, in virtual time:
- * calls and bytes a second against the rate of keyed requests and the number of instances.
+ * Measures, in virtual time, the load that claims of keyed requests put on the platform's store and the
+ * latency of a claim, at several rates of keyed requests and several numbers of instances.
  */
 import { createRandom, type Random } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -10,8 +10,8 @@
 import { createFakeStore } from '@skylarksail/store/FakeStore';
 import * as hdr from 'hdr-histogram-js';
 
-/** Slots of the whole fleet, as the daemon sets them. */
-const SLOTS = 64;
+/** Claim slots of the whole fleet; the same number as in the daemon. */
+const CLAIM_SLOTS = 64;
 const WARM_UP_MS = 4000;
 const MEASURED_MS = 10_000;
 const TIME_LEFT_MS = 10_000;
@@ -21,7 +21,7 @@
   readonly keyedPerSecond: number;
 }
 
-/** One line of the bench. Rates are of the whole fleet. */
+/** Result of one case. Rates are totals over the whole fleet. */
 export interface ClaimsBenchLine {
   readonly bench: 'claims';
   readonly instances: number;
@@ -44,7 +44,7 @@
   { instances: 680, keyedPerSecond: 2400 },
 ];
 
-/** Runs every case and gives a line for each. */
+/** Runs the cases one after the other and returns a line for each. */
 export async function runClaimsBench(
   seed: number,
   settings: ClaimSlotSettings = DEFAULT_SLOT_SETTINGS,
@@ -69,7 +69,7 @@
     timers,
     random: createRandom(seed + 2),
     platform,
-    slots: SLOTS,
+    slots: CLAIM_SLOTS,
     settings,
   });
   const instances = Array.from({ length: benchCase.instances }, (_, i) => fleet.start(`i${i}`));
@@ -79,30 +79,30 @@
   const end = measureFrom + MEASURED_MS;
   let granted = 0;
   let notRun = 0;
-  let asked = 0;
+  let sentRequests = 0;
 
-  async function claimOne(): Promise<void> {
-    const askedAt = timers.now();
+  async function sendClaim(): Promise<void> {
+    const sentAt = timers.now();
     const at = instances[random.nextInt(instances.length)] as FakeClaimInstance;
-    asked += 1;
+    sentRequests += 1;
     const outcome = await at.router.claim({
       team: 't',
-      key: `key-${asked}`,
+      key: `key-${sentRequests}`,
       fingerprint: 'f',
-      request: `r${asked}`,
+      request: `r${sentRequests}`,
       timeLeft: TIME_LEFT_MS,
     });
-    if (askedAt >= measureFrom && askedAt < end) {
+    if (sentAt >= measureFrom && sentAt < end) {
       granted += outcome.kind === 'granted' ? 1 : 0;
       notRun += outcome.kind === 'granted' ? 0 : 1;
-      latency.recordValue(Math.max(1, Math.round(timers.now() - askedAt)));
+      latency.recordValue(Math.max(1, Math.round(timers.now() - sentAt)));
     }
   }
 
   function scheduleNext(): void {
-    timers.registerTimeout(drawGap(random, benchCase.keyedPerSecond), () => {
+    timers.registerTimeout(drawArrivalGap(random, benchCase.keyedPerSecond), () => {
       if (timers.now() < end) {
-        void claimOne();
+        void sendClaim();
         scheduleNext();
       }
     });
@@ -130,7 +130,7 @@
   };
 }
 
-/** Gap to the next request of a Poisson stream. */
-function drawGap(random: Random, perSecond: number): number {
+/** Draws the time to the next arrival of a Poisson process. */
+function drawArrivalGap(random: Random, perSecond: number): number {
   return (-Math.log(1 - random.nextFloat()) * MILLIS_PER_SECOND) / perSecond;
 }
--- a/packages/bench/src/ConfigBench.ts
+++ b/packages/bench/src/ConfigBench.ts
@@ -1,7 +1,7 @@
 /**
- * The bench of the manifest: changes submitted in races while instances restart, messages and answers
- * get lost and the platform has outages. The real core and runner over virtual time; of each accepted
- * change, the time until it is in force at every instance that is up and not cut off.
+ * Measures how long a manifest change takes from acceptance until it is in force at every instance that
+ * runs and is not partitioned. Submissions race while instances restart, messages, calls and answers get
+ * lost and the platform has outages. Runs the real manifest core and runner over virtual time.
  */
 import { build } from 'hdr-histogram-js';
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
@@ -23,43 +23,43 @@
 export interface ConfigBenchOptions {
   readonly seed: number;
   readonly shapes?: readonly ConfigShape[];
-  /** Changes that are submitted to each fleet. */
+  /** Number of changes submitted to each fleet, without the racing submissions. */
   readonly changes?: number;
   readonly teams?: number;
 }
 
-/** What one fleet showed. Times in milliseconds, rates over the whole of its run. */
+/** Result of one fleet. Rates are averages over the period with changes unless a field says otherwise. */
 export interface ConfigBenchLine {
   readonly bench: 'config';
   readonly nodes: number;
   readonly domains: number;
   readonly changes: number;
-  /** Submissions that lost a race. */
+  /** Submissions rejected because another one was written first. */
   readonly conflicts: number;
   /** From the write of the root until the last reachable instance has it in force. */
   readonly in_force_p50_ms: number;
   readonly in_force_p99_ms: number;
   readonly in_force_max_ms: number;
-  /** From the start of an instance until a revision is in force there; outages included. */
+  /** From the restart of an instance until a revision is in force there, platform outages included. */
   readonly start_p50_ms: number;
   readonly start_p99_ms: number;
   readonly restarts: number;
   readonly reverted: number;
-  /** Changes that were not in force everywhere by the end. */
+  /** Accepted changes that were not in force at every instance by the end. */
   readonly missing: number;
   readonly platform_calls_s: number;
-  /** Bytes that an instance sends to others, on average. */
+  /** Average bytes that an instance sends to other instances. */
   readonly peer_bytes_s: number;
-  /** The same two while nothing changes. */
+  /** Rates of platform calls and of bytes sent while nothing changes. */
   readonly idle_platform_calls_s: number;
   readonly idle_peer_bytes_s: number;
-  /** Bytes that an instance sends for one change, restarts included. */
+  /** Average bytes that an instance sends per change, restarts included. */
   readonly peer_bytes_per_change: number;
-  /** Share of a core that an instance takes, the fakes' part included. */
+  /** Percentage of a core per instance, the cost of the fakes included. */
   readonly cpu_pct: number;
 }
 
-/** The last line: the largest fleet, and how time and calls grow from fleet to fleet. */
+/** Summary line: figures of the largest fleet, and the growth of time and calls with the fleet size. */
 export interface ConfigBenchSummary {
   readonly bench: 'config';
   readonly nodes: number;
@@ -67,13 +67,13 @@
   readonly in_force_p99_ms: number;
   readonly reverted: number;
   readonly platform_calls_s: number;
-  /** Calls a second that one more instance adds, fitted over the fleets. */
+  /** Calls per second that one more instance adds, by a linear fit over the fleets. */
   readonly platform_calls_s_per_node: number;
-  /** Milliseconds that a doubling of the fleet adds to the 99th percentile, fitted. */
+  /** Milliseconds that doubling the fleet adds to the 99th percentile, by a linear fit. */
   readonly in_force_p99_ms_per_doubling: number;
 }
 
-/** Today's seven instances first, then larger fleets up to the size of the next two years. */
+/** About the users' current seven instances first, then larger fleets up to the size expected in two years. */
 const DEFAULT_SHAPES: readonly ConfigShape[] = [
   { domains: 3, perDomain: 2 },
   { domains: 3, perDomain: 8 },
@@ -86,19 +86,19 @@
 const WARM_UP: Millis = 5000;
 const SETTLE: Millis = 20_000;
 const MICROS_PER_SECOND = 1_000_000;
-/** Every so many changes two submissions race. */
-const RACE_EVERY = 2;
+/** One change in this many gets a second, racing submission. */
+const CHANGES_PER_RACE = 2;
 
 interface FleetTotals {
-  /** Virtual seconds that passed. */
+  /** Elapsed virtual time. */
   readonly seconds: number;
   readonly calls: number;
   readonly bytes: number;
-  /** Real processor time that all instances and fakes took. */
+  /** Real processor time of all instances and fakes together. */
   readonly cpuSeconds: number;
 }
 
-/** Runs every fleet; `onLine` hears of each as it ends. */
+/** Runs the fleets in turn; `onLine` is called with the result of each when it ends. */
 export async function runConfigBench(
   options: ConfigBenchOptions,
   onLine: (line: ConfigBenchLine) => void = () => undefined,
@@ -127,7 +127,7 @@
   const busy = await measure(run, async () => {
     for (let i = 1; i <= changes; i++) {
       outcomes.push(submit(run, `change-${i}`, createBenchManifest(teams, i, 0)));
-      if (i % RACE_EVERY === 0) {
+      if (i % CHANGES_PER_RACE === 0) {
         outcomes.push(submit(run, `race-${i}`, createBenchManifest(teams, i, 1)));
       }
       scheduleFaults(run, i);
@@ -138,18 +138,18 @@
   return createLine(run, await Promise.all(outcomes), idle, busy);
 }
 
-/** Counts what happens while `work` runs. */
+/** Measures time, platform calls, bytes sent and processor time while `work` runs. */
 async function measure(run: FleetRun, work: () => Promise<void>): Promise<FleetTotals> {
-  const calls = countCalls(run);
+  const callsBefore = countCalls(run);
   const startedAt = run.timers.now();
-  const bytes = run.countBytes();
-  const cpu = process.cpuUsage();
+  const bytesBefore = run.countBytes();
+  const cpuBefore = process.cpuUsage();
   await work();
-  const used = process.cpuUsage(cpu);
+  const used = process.cpuUsage(cpuBefore);
   return {
     seconds: (run.timers.now() - startedAt) / MILLIS_PER_SECOND,
-    calls: countCalls(run) - calls,
-    bytes: run.countBytes() - bytes,
+    calls: countCalls(run) - callsBefore,
+    bytes: run.countBytes() - bytesBefore,
     cpuSeconds: (used.user + used.system) / MICROS_PER_SECOND,
   };
 }
@@ -161,15 +161,15 @@
   busy: FleetTotals,
 ): ConfigBenchLine {
   const { shape, record } = run;
-  const histogram = build();
+  const inForceTimes = build();
   const times = record.accepted.map((change) => measureInForce(record, change));
   times.forEach((time) => {
     if (time !== null) {
-      histogram.recordValue(Math.round(time));
+      inForceTimes.recordValue(Math.round(time));
     }
   });
-  const starts = build();
-  record.startDurations.forEach((time) => starts.recordValue(Math.round(time)));
+  const startDurations = build();
+  record.startDurations.forEach((time) => startDurations.recordValue(Math.round(time)));
   const nodes = shape.domains * shape.perDomain;
   const idleBytes = idle.bytes / idle.seconds / nodes;
   return {
@@ -178,11 +178,11 @@
     domains: shape.domains,
     changes: record.accepted.length,
     conflicts: outcomes.filter(({ kind }) => kind === 'conflict').length,
-    in_force_p50_ms: histogram.getValueAtPercentile(50),
-    in_force_p99_ms: histogram.getValueAtPercentile(99),
-    in_force_max_ms: histogram.maxValue,
-    start_p50_ms: starts.getValueAtPercentile(50),
-    start_p99_ms: starts.getValueAtPercentile(99),
+    in_force_p50_ms: inForceTimes.getValueAtPercentile(50),
+    in_force_p99_ms: inForceTimes.getValueAtPercentile(99),
+    in_force_max_ms: inForceTimes.maxValue,
+    start_p50_ms: startDurations.getValueAtPercentile(50),
+    start_p99_ms: startDurations.getValueAtPercentile(99),
     restarts: record.restarts.length,
     reverted: record.reverts.length,
     missing: times.filter((time) => time === null).length,
@@ -219,7 +219,7 @@
   };
 }
 
-/** Slope of the line that fits the points with the least squares. */
+/** Slope of the least-squares line through the points. */
 function fitSlope(points: readonly (readonly [number, number])[]): number {
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / points.length;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / points.length;
--- a/packages/bench/src/ConfigFleet.ts
+++ b/packages/bench/src/ConfigFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of the config bench: the real runner at each instance, submitters, and the faults that run
- * beside them, with a record of what came into force where and when.
+ * A fleet of the config bench: the real manifest runner at each instance, submissions and injected
+ * faults, with a record of when each revision came into force at each instance.
  */
 import { Packr } from 'msgpackr';
 import { createRandom, sampleElements } from '@skylarksail/core/CoreRandom';
@@ -24,7 +24,7 @@
 import { createStoreClient } from '@skylarksail/store/StoreClient';
 import type { StorePort } from '@skylarksail/store/StorePort';
 
-/** One fleet of the bench. */
+/** Number of failure domains and of instances in each. */
 export interface ConfigShape {
   readonly domains: number;
   readonly perDomain: number;
@@ -32,46 +32,46 @@
 
 export const CHANGE_PERIOD: Millis = 2500;
 const SUBMIT_DEADLINE: Millis = 20_000;
-const RESTART_GAP: Millis = 1500;
-const OUTAGE: Millis = 6000;
+const RESTART_DOWNTIME: Millis = 1500;
+const OUTAGE_DURATION: Millis = 6000;
 const MESSAGE_LOSS = 0.01;
 const PLATFORM_FAULTS = { lostAnswers: 0.02, lostCalls: 0.02, missedWatches: 0.05 };
-/** Every so many changes one of these happens. */
-const RESTART_EVERY = 1;
-const OUTAGE_EVERY = 8;
-const CUT_EVERY = 10;
+/** One change in this many comes with the fault. */
+const CHANGES_PER_RESTART = 1;
+const CHANGES_PER_OUTAGE = 8;
+const CHANGES_PER_PARTITION = 10;
 
-/** A change and the time at which the platform took it. */
+/** A change and the time at which the platform stored its root. */
 export interface AcceptedChange {
   readonly revision: number;
   readonly at: Millis;
 }
 
-/** A time in which an instance was away. */
-export interface AwaySpan {
+/** A period in which an instance was partitioned (`cut`) or not running (`restart`). */
+export interface AbsenceSpan {
   readonly kind: 'cut' | 'restart';
   readonly from: Millis;
   to: Millis;
 }
 
-/** What is recorded while a fleet runs. */
+/** Measurements collected while a fleet runs. */
 export interface FleetRecord {
   readonly accepted: AcceptedChange[];
-  /** When an instance's present process was started. */
+  /** Start times of restarted processes that have no revision in force yet. */
   readonly startedAt: Map<InstanceId, Millis>;
-  /** Highest revision ever in force at an instance, over all its processes. */
+  /** Highest revision that was ever in force at an instance, across restarts. */
   readonly highest: Map<InstanceId, number>;
-  /** Times at which an instance's processes put revisions into force. */
+  /** Revisions that came into force at an instance, in order, across restarts. */
   readonly applied: Map<InstanceId, { readonly revision: number; readonly at: Millis }[]>;
-  /** Spans in which an instance was cut off or did not run. */
-  readonly away: Map<InstanceId, AwaySpan[]>;
+  readonly absences: Map<InstanceId, AbsenceSpan[]>;
+  /** Times from the restart of an instance until its first revision is in force. */
   readonly startDurations: Millis[];
-  /** Instances that put a lower revision into force than before. */
+  /** Instances that put a revision below their highest into force, one entry for each time. */
   readonly reverts: InstanceId[];
   readonly restarts: InstanceId[];
 }
 
-/** A fleet under way. */
+/** A fleet with its virtual clock, platform and record. */
 export interface FleetRun {
   readonly shape: ConfigShape;
   readonly timers: VirtualTimers;
@@ -80,25 +80,24 @@
   readonly fleet: FakeFleet;
   readonly members: readonly InstanceId[];
   readonly record: FleetRecord;
-  /** Bytes of all messages between instances so far. */
+  /** Returns the total bytes of messages between instances so far. */
   readonly countBytes: () => number;
 }
 
-/** An empty record. */
 export function createRecord(): FleetRecord {
   return {
     accepted: [],
     startedAt: new Map(),
     highest: new Map(),
     applied: new Map(),
-    away: new Map(),
+    absences: new Map(),
     startDurations: [],
     reverts: [],
     restarts: [],
   };
 }
 
-/** Creates a fleet of which nothing runs yet. */
+/** Creates a fleet without starting its instances. */
 export function createFleetRun(shape: ConfigShape, seed: number): FleetRun {
   const timers = createVirtualTimers();
   const random = createRandom(seed);
@@ -148,7 +147,7 @@
   return client.forUse(StoreUse.Manifest);
 }
 
-/** Records that an instance has put a revision into force. */
+/** Records that a revision came into force at an instance. */
 export function recordInForce(
   record: FleetRecord,
   id: InstanceId,
@@ -169,19 +168,26 @@
   record.applied.set(id, [...applied, { revision, at }]);
 }
 
-/** Lets virtual time pass. */
+/** Advances virtual time and lets pending promises settle. */
 export function advanceTime({ timers }: FleetRun, time: Millis): Promise<void> {
   return timers.advanceToAsync(timers.now() + time);
 }
 
-/** Calls to the platform so far, watches included. */
+/** Returns the number of calls to the platform so far, watches included. */
 export function countCalls({ platform }: FleetRun): number {
   const { reads, writes } = platform.countCalls();
   return reads + writes;
 }
 
-/** Submits a manifest through an instance, as the daemon does; a cut-off one cannot reach the platform. */
-export function submit(run: FleetRun, submissionId: string, manifest: unknown): Promise<SubmitOutcome> {
+/**
+ * Submits a manifest through a random running instance, as the daemon does.
+ * A partitioned instance cannot reach the platform.
+ */
+export function submit(
+  run: FleetRun,
+  submissionId: string,
+  manifest: unknown,
+): Promise<SubmitOutcome> {
   const [via] = sampleElements(run.random, run.fleet.listRunning(), 1);
   const port = run.platform.connect(via as InstanceId);
   const ctx = {
@@ -200,34 +206,34 @@
   });
 }
 
-/** Losses of messages, calls and answers, from now on. */
+/** Starts to drop a share of peer messages and of platform calls, answers and watch notifications. */
 export function enableLosses({ platform, fleet }: FleetRun): void {
   platform.setFaults(PLATFORM_FAULTS);
   fleet.setLoss(MESSAGE_LOSS);
 }
 
-/** The restart, outage or cut that goes with a change. */
+/** Schedules the restart, outage or partition that is due with a change, if any. */
 export function scheduleFaults(run: FleetRun, change: number): void {
   const { timers, random, platform, fleet } = run;
-  if (change % RESTART_EVERY === 0) {
+  if (change % CHANGES_PER_RESTART === 0) {
     const [id] = sampleElements(random, fleet.listRunning(), 1);
     timers.registerTimeout(random.nextInt(CHANGE_PERIOD), () => restart(run, id as InstanceId));
   }
-  if (change % OUTAGE_EVERY === 0) {
+  if (change % CHANGES_PER_OUTAGE === 0) {
     timers.registerTimeout(random.nextInt(CHANGE_PERIOD), () => {
       platform.setFaults({ outage: true });
-      timers.registerTimeout(OUTAGE, () => platform.setFaults({ outage: false }));
+      timers.registerTimeout(OUTAGE_DURATION, () => platform.setFaults({ outage: false }));
     });
   }
-  if (change % CUT_EVERY === 0) {
+  if (change % CHANGES_PER_PARTITION === 0) {
     const domain = `d${random.nextInt(run.shape.domains)}`;
     fleet.setPartitioned(domain, true);
-    const returns = run.members
+    const endAbsences = run.members
       .filter((id) => id.startsWith(`${domain}-`))
-      .map((id) => leave(run, id, 'cut'));
-    timers.registerTimeout(OUTAGE, () => {
+      .map((id) => recordAbsence(run, id, 'cut'));
+    timers.registerTimeout(OUTAGE_DURATION, () => {
       fleet.setPartitioned(domain, false);
-      returns.forEach((comeBack) => comeBack());
+      endAbsences.forEach((endAbsence) => endAbsence());
     });
   }
 }
@@ -238,27 +244,32 @@
     return;
   }
   fleet.kill(id);
-  const comeBack = leave(run, id, 'restart');
-  timers.registerTimeout(RESTART_GAP, () => {
+  const endAbsence = recordAbsence(run, id, 'restart');
+  timers.registerTimeout(RESTART_DOWNTIME, () => {
     record.restarts.push(id);
     record.startedAt.set(id, timers.now());
-    comeBack();
+    endAbsence();
     fleet.start(id);
   });
 }
 
-/** Notes that an instance is away; the returned function notes its return. */
-function leave({ record, timers }: FleetRun, id: InstanceId, kind: AwaySpan['kind']): () => void {
-  const span: AwaySpan = { kind, from: timers.now(), to: Infinity };
-  record.away.set(id, [...(record.away.get(id) ?? []), span]);
+/** Records the start of an absence; the returned function records its end. */
+function recordAbsence(
+  { record, timers }: FleetRun,
+  id: InstanceId,
+  kind: AbsenceSpan['kind'],
+): () => void {
+  const span: AbsenceSpan = { kind, from: timers.now(), to: Infinity };
+  record.absences.set(id, [...(record.absences.get(id) ?? []), span]);
   return () => {
     span.to = timers.now();
   };
 }
 
 /**
- * Time from acceptance until the last instance has the revision, or a higher one, in force. One that was
- * cut off counts from its return; one that was started meanwhile is measured by its start instead.
+ * Returns the time from acceptance until the revision or a higher one is in force at every instance, or
+ * null if an instance never got there. For a partitioned instance the time runs from the end of the
+ * partition. One that restarted meanwhile counts as 0 because its start is measured separately.
  */
 export function measureInForce(record: FleetRecord, change: AcceptedChange): Millis | null {
   const times = [...record.highest.keys()].map((id) => {
@@ -266,12 +277,12 @@
     if (!entry) {
       return null;
     }
-    const spans = (record.away.get(id) ?? []).filter(
+    const spans = (record.absences.get(id) ?? []).filter(
       ({ from, to }) => to > change.at && from < entry.at,
     );
     const from = Math.max(change.at, ...spans.map(({ to }) => to));
-    const isStart = spans.some(({ kind }) => kind === 'restart');
-    return isStart ? 0 : Math.max(0, entry.at - from);
+    const hasRestarted = spans.some(({ kind }) => kind === 'restart');
+    return hasRestarted ? 0 : Math.max(0, entry.at - from);
   });
   return times.includes(null) ? null : Math.max(...(times as Millis[]));
 }
--- a/packages/bench/src/ConfigManifests.ts
+++ b/packages/bench/src/ConfigManifests.ts
@@ -1,16 +1,19 @@
-/** Manifests of any number of teams for the config bench, each change touching one team. */
+/** Manifests for the config bench with any number of teams. */
 import { createHash } from 'node:crypto';
 import type { ManifestInput } from '@skylarksail/manifest/ManifestSchema';
 
 const MODELS = 9;
 const DOMAINS = 8;
 
-/** Bearer key of a team of `createBenchManifest`. */
+/** Returns the bearer key of a team in the manifests of `createBenchManifest`. */
 export function getBenchKey(team: number): string {
   return `bench-key-${team}`;
 }
 
-/** A manifest after `change` changes; racing variants of one change differ in the team's limit. */
+/**
+ * Creates the manifest of a change, in which one team has a higher queue limit. Racing submissions of
+ * the same change differ in `variant`, which is added to that limit.
+ */
 export function createBenchManifest(
   teamCount: number,
   change: number,
--- a/packages/bench/src/ControlAge.ts
+++ b/packages/bench/src/ControlAge.ts
@@ -1,7 +1,7 @@
 /**
- * How routing worsens with the age of what instances know of the engines' load: queues behind engines of
- * four speeds, many instances that each choose the better of a few random engines by digests that are
- * renewed every so often and by their own requests in flight. The polling rate is chosen from it.
+ * Measures how queueing delay grows with the staleness of the load data that instances route by. Engines of
+ * four speeds have queues. Each instance picks the cheapest of a few random engines by the last load digest
+ * and its own requests since. The polling period of the engines is chosen from the result.
  */
 import { LifeState, MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { Random } from '@skylarksail/core/CoreRandom';
@@ -13,13 +13,13 @@
 
 export interface ControlAgeOptions {
   readonly seed: number;
-  /** Mean ages of what is known; null stands for knowing nothing but one's own requests. */
+  /** Mean ages of the load data; null means that an instance has only its own requests to go by. */
   readonly ages?: readonly (Millis | null)[];
   readonly utilisation?: number;
   readonly duration?: Millis;
 }
 
-/** Time that requests wait for a place in an engine's batch. */
+/** Time that requests wait for a slot in an engine's batch, at one age of the load data. */
 export interface ControlAgeLine {
   readonly bench: 'control-age';
   readonly mean_age_ms: number | null;
@@ -31,40 +31,40 @@
 }
 
 interface QueueEngine {
-  /** Places times this is what it finishes a second, relative to the mean. */
+  /** Service rate of each batch slot, as a multiple of 1 / MEAN_SERVICE_TIME. */
   readonly speed: number;
   readonly waiting: (() => void)[];
   running: number;
 }
 
-/** What one instance knows of one engine. */
-interface Knowledge {
+/** What one instance knows about the load of one engine. */
+interface EngineView {
   readonly load: number;
-  /** Own requests started since, less those of before that ended since. */
-  readonly ownSince: number;
+  /** Requests that this instance started on the engine since the digest, minus those that ended since. */
+  readonly ownDelta: number;
 }
 
 const AGES: readonly (Millis | null)[] = [0, 1000, 2000, 4000, 8000, 16_000, 32_000, null];
 const INSTANCES = 20;
 const ENGINES = 80;
-const PLACES = 16;
+const BATCH_SLOTS = 16;
 const SPEEDS = [0.4, 0.8, 1.2, 1.6];
 const CANDIDATES = 3;
-/** Letter 1: 10 million tokens over 24,000 requests a second, at some 50 ms a token. */
-const MEAN_SERVICE: Millis = 20_000;
+/** The users' load: 10 million tokens per second over 24,000 requests per second, at about 50 ms per token. */
+const MEAN_SERVICE_TIME: Millis = 20_000;
 const UTILISATION = 0.85;
 const DURATION: Millis = 400_000;
 const WARM_UP_SHARE = 0.25;
 const MAX_WAIT = 600_000;
 
-/** Runs one line for each age. */
+/** Runs the simulation once for each age. */
 export function runControlAgeBench(options: ControlAgeOptions): readonly ControlAgeLine[] {
   return (options.ages ?? AGES).map((age) => measureAge(age, options));
 }
 
 function measureAge(age: Millis | null, options: ControlAgeOptions): ControlAgeLine {
-  // Arrivals and work have a source of their own, so that each age meets the same requests.
-  const offered = createRandom(options.seed);
+  // Arrivals and service times have their own random source so that every age gets the same requests.
+  const workloadRandom = createRandom(options.seed);
   const random = createRandom(options.seed + 1);
   const timers = createVirtualTimers();
   const duration = options.duration ?? DURATION;
@@ -73,19 +73,20 @@
     Array.from({ length: ENGINES / SPEEDS.length }, () => createQueueEngine(speed)),
   );
   const known = Array.from({ length: INSTANCES }, () =>
-    engines.map((): Knowledge => ({ load: 0, ownSince: 0 })),
+    engines.map((): EngineView => ({ load: 0, ownDelta: 0 })),
   );
-  const perSecond =
-    (engines.reduce((sum, { speed }) => sum + speed * PLACES, 0) * MILLIS_PER_SECOND) /
-    MEAN_SERVICE;
-  const gap = MILLIS_PER_SECOND / (perSecond * (options.utilisation ?? UTILISATION));
-
-  function arrive(): void {
-    const instance = offered.nextInt(INSTANCES);
-    const work = drawExponential(offered, MEAN_SERVICE);
-    const view = known[instance] as Knowledge[];
+  const servicePerSecond =
+    (engines.reduce((sum, { speed }) => sum + speed * BATCH_SLOTS, 0) * MILLIS_PER_SECOND) /
+    MEAN_SERVICE_TIME;
+  const meanArrivalGap =
+    MILLIS_PER_SECOND / (servicePerSecond * (options.utilisation ?? UTILISATION));
+
+  function handleArrival(): void {
+    const instance = workloadRandom.nextInt(INSTANCES);
+    const work = drawExponential(workloadRandom, MEAN_SERVICE_TIME);
+    const view = known[instance] as EngineView[];
     const chosen = chooseEngine(random, engines, view, age === 0);
-    addOwn(view, chosen, 1);
+    adjustOwnRequests(view, chosen, 1);
     const arrivedAt = timers.now();
     startRequest(engines[chosen] as QueueEngine, () => {
       if (arrivedAt > duration * WARM_UP_SHARE) {
@@ -93,30 +94,30 @@
       }
       runRequest(chosen, view, work);
     });
-    timers.registerTimeout(drawExponential(offered, gap), arrive);
+    timers.registerTimeout(drawExponential(workloadRandom, meanArrivalGap), handleArrival);
   }
 
-  function runRequest(chosen: number, view: Knowledge[], work: Millis): void {
+  function runRequest(chosen: number, view: EngineView[], work: Millis): void {
     const engine = engines[chosen] as QueueEngine;
     timers.registerTimeout(work / engine.speed, () => {
-      addOwn(view, chosen, -1);
+      adjustOwnRequests(view, chosen, -1);
       endRequest(engine);
     });
   }
 
-  // Uniform renewal in 2 * age gives knowledge that is `age` old on average.
+  // A refresh every 2 * age, with random phases, gives data that is `age` old on average.
   if (age !== null && age > 0) {
     known.forEach((view) =>
       engines.forEach((engine, i) => {
-        const renew = (): void => {
-          Object.assign(view, { [i]: { load: readLoad(engine), ownSince: 0 } });
-          timers.registerTimeout(2 * age, renew);
+        const refresh = (): void => {
+          Object.assign(view, { [i]: { load: getDigestLoad(engine), ownDelta: 0 } });
+          timers.registerTimeout(2 * age, refresh);
         };
-        timers.registerTimeout(random.nextFloat() * 2 * age, renew);
+        timers.registerTimeout(random.nextFloat() * 2 * age, refresh);
       }),
     );
   }
-  timers.registerTimeout(0, arrive);
+  timers.registerTimeout(0, handleArrival);
   timers.advanceTo(duration);
   return {
     bench: 'control-age',
@@ -132,27 +133,27 @@
 function chooseEngine(
   random: Random,
   engines: readonly QueueEngine[],
-  view: readonly Knowledge[],
+  view: readonly EngineView[],
   isExact: boolean,
 ): number {
-  let best = -1;
+  let bestIndex = -1;
   let bestCost = Infinity;
   for (let i = 0; i < CANDIDATES; i++) {
-    const at = random.nextInt(engines.length);
-    const engine = engines[at] as QueueEngine;
-    const { load, ownSince } = view[at] as Knowledge;
-    const requests = isExact ? engine.running + engine.waiting.length : load + ownSince;
+    const index = random.nextInt(engines.length);
+    const engine = engines[index] as QueueEngine;
+    const { load, ownDelta } = view[index] as EngineView;
+    const requests = isExact ? engine.running + engine.waiting.length : load + ownDelta;
     const cost = (Math.max(0, requests) + 1) / engine.speed;
     if (cost < bestCost) {
-      best = at;
+      bestIndex = index;
       bestCost = cost;
     }
   }
-  return best;
+  return bestIndex;
 }
 
-/** The load as a digest carries it. */
-function readLoad(engine: QueueEngine): number {
+/** Returns the load as read from a digest, with the loss of precision of its encoding. */
+function getDigestLoad(engine: QueueEngine): number {
   const digest = encodeLoad({
     running: engine.running,
     queued: engine.waiting.length,
@@ -168,7 +169,7 @@
 }
 
 function startRequest(engine: QueueEngine, run: () => void): void {
-  if (engine.running >= PLACES) {
+  if (engine.running >= BATCH_SLOTS) {
     engine.waiting.push(run);
     return;
   }
@@ -185,9 +186,9 @@
   }
 }
 
-function addOwn(view: Knowledge[], engine: number, change: number): void {
-  const { load, ownSince } = view[engine] as Knowledge;
-  Object.assign(view, { [engine]: { load, ownSince: ownSince + change } });
+function adjustOwnRequests(view: EngineView[], engine: number, delta: number): void {
+  const { load, ownDelta } = view[engine] as EngineView;
+  Object.assign(view, { [engine]: { load, ownDelta: ownDelta + delta } });
 }
 
 function drawExponential(random: Random, mean: number): number {
--- a/packages/bench/src/ControlBench.ts
+++ b/packages/bench/src/ControlBench.ts
@@ -1,6 +1,7 @@
 /**
- * What control costs each instance as the fleet grows: real membership, duties and load digests with real
- * bytes over virtual time, many instances in one process. Prints one line a size, then the fitted slope.
+ * Measures what control traffic costs each instance as the fleet grows. Many instances run the real
+ * membership, duties and load digests in one process over virtual time and exchange encoded messages.
+ * Reports one line per fleet size, then the slope of a linear fit.
  */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -14,7 +15,7 @@
 
 export interface ControlBenchOptions {
   readonly seed: number;
-  /** Fleet sizes to run; 680 is measured if it is among them, else worked out from the slope. */
+  /** Fleet sizes to run; the costs at 680 are measured if it is among them, else extrapolated. */
   readonly sizes?: readonly number[];
   /** Virtual time measured at each size, in milliseconds. */
   readonly measureTime?: Millis;
@@ -28,20 +29,20 @@
   readonly nodes: number;
   readonly domains: number;
   readonly engines: number;
-  /** Bytes sent, frames and TCP/IP headers included; as many are received. */
+  /** Bytes sent, with WebSocket frames and TCP/IP headers; the same number is received. */
   readonly bytes_s: number;
-  /** Bytes of the answers of the polled engines, received besides. */
+  /** Bytes received in poll responses of engines, not part of `bytes_s`. */
   readonly poll_bytes_s: number;
   readonly messages_s: number;
   readonly cpu_pct: number;
-  /** Heap that one more instance takes. */
+  /** Heap and array buffers per instance. */
   readonly rss_mb: number;
-  /** Of the whole fleet: readings of the platform's list. */
+  /** Reads of the platform's instance list by the whole fleet. */
   readonly platform_calls_s: number;
   readonly load_age_p50_ms: number;
   readonly load_age_p99_ms: number;
   readonly load_unknown: number;
-  /** Time from a crash until the instances of its domain hold it dead. */
+  /** Time from a crash until the instances of the same domain declare the instance dead. */
   readonly detect_p50_ms: number;
   readonly detect_p99_ms: number;
   readonly false_deaths: number;
@@ -50,14 +51,14 @@
 type CostField = 'bytes_s' | 'poll_bytes_s' | 'cpu_pct' | 'rss_mb' | 'platform_calls_s';
 type ControlCosts = Readonly<Record<CostField, number>>;
 
-/** The line that ends the bench: how the costs grow, and their value at 680 nodes. */
+/** Summary line: the growth of the costs and their values at 680 nodes. */
 export interface ControlSummary {
   readonly bench: 'control';
-  /** Sizes over which the slope was fitted: those with full domains, if there are two. */
+  /** Sizes that the fit uses: those with full domains if there are at least two, else all. */
   readonly fitted_over: readonly number[];
   readonly slope_per_100_nodes: ControlCosts;
   readonly at_680: ControlCosts;
-  /** Whether the values at 680 were measured, or drawn out along the slope. */
+  /** Whether the values at 680 were measured rather than extrapolated. */
   readonly measured: boolean;
   readonly limits: { readonly bytes_s: number; readonly cpu_pct: number; readonly rss_mb: number };
   readonly within: boolean;
@@ -68,30 +69,30 @@
   readonly summary: ControlSummary;
 }
 
-/** What fits into a minute; `npm run bench -- control` with larger ones takes some minutes. */
+/** These sizes run within a minute; larger ones take several minutes. */
 const SIZES = [7, 21, 85, 170];
 const TARGET_SIZE = 680;
 const DOMAIN_SIZE = 85;
 const ENGINES_PER_INSTANCE = 2800 / 680;
 /** All instances start within the first second. */
 const START_TIME: Millis = 1500;
-/** What was said at the start has been passed on by then, also at 680 instances. */
+/** Long enough for the gossip of the start to finish spreading, also at 680 instances. */
 const WARM_UP: Millis = 28_000;
-/** Whole periods of polling, else the share of polls in it hangs on where it begins. */
+/** A multiple of the polling period, so that the number of polls does not depend on the phase. */
 const MEASURE_TIME: Millis = 4 * LOAD_POLL_PERIOD;
-const DETECT_TIME: Millis = 9000;
+const DETECTION_TIME: Millis = 9000;
 const SAMPLE_PERIOD: Millis = 1000;
-/** Bytes around each message: ws frame with mask, TCP with timestamps, IP. */
-const FRAME_BYTES = 8 + 32 + 20;
-/** Head of an HTTP answer with JSON on a kept connection, and its packet. */
-const POLL_HEAD_BYTES = 180;
+/** Overhead per message: WebSocket header with mask, TCP header with timestamps, IP header. */
+const MESSAGE_OVERHEAD_BYTES = 8 + 32 + 20;
+/** HTTP response headers of a JSON body on a keep-alive connection, and the packet headers. */
+const POLL_HEADER_BYTES = 180;
 const LIMITS = { bytes_s: 4096, cpu_pct: 1.6, rss_mb: 64 };
 const MICROS_PER_SECOND = 1e6;
-const MAX_TRACKED = 600_000;
+const MAX_TRACKED_MS = 600_000;
 
 const collectGarbage = createCollector();
 
-/** Runs all sizes. `onLine` hears of each line as it is ready. */
+/** Runs all sizes; `onLine` is called with each line when it is ready. */
 export function runControlBench(
   options: ControlBenchOptions,
   onLine: (line: ControlLine) => void = () => {},
@@ -104,7 +105,7 @@
   return { lines, summary: summarise(lines) };
 }
 
-/** Splits a fleet into domains of 85, or into three smaller ones as the users have today. */
+/** Splits a fleet into domains of 85 if that divides it, else into three, as many as the users have. */
 export function splitDomains(nodes: number): readonly number[] {
   const domains = nodes % DOMAIN_SIZE === 0 ? nodes / DOMAIN_SIZE : 3;
   return Array.from({ length: domains }, (_, i) => Math.floor((nodes + i) / domains));
@@ -156,7 +157,7 @@
   const nodeSeconds = nodes * seconds;
   const sentBefore = countSent(control);
   const pollsBefore = control.countPolls();
-  const ages = build({ highestTrackableValue: MAX_TRACKED });
+  const ages = build({ highestTrackableValue: MAX_TRACKED_MS });
   let unknown = 0;
   let cpu = 0;
   for (let passed = 0; passed < time; passed += SAMPLE_PERIOD) {
@@ -176,9 +177,12 @@
   const polls = control.countPolls();
   const messages = sent.messages - sentBefore.messages;
   const pollBytes =
-    polls.bytes - pollsBefore.bytes + POLL_HEAD_BYTES * (polls.polls - pollsBefore.polls);
+    polls.bytes - pollsBefore.bytes + POLL_HEADER_BYTES * (polls.polls - pollsBefore.polls);
   return {
-    bytes_s: round((sent.bytes - sentBefore.bytes + FRAME_BYTES * messages) / nodeSeconds, 0),
+    bytes_s: round(
+      (sent.bytes - sentBefore.bytes + MESSAGE_OVERHEAD_BYTES * messages) / nodeSeconds,
+      0,
+    ),
     poll_bytes_s: round(pollBytes / nodeSeconds, 0),
     messages_s: round(messages / nodeSeconds, 2),
     cpu_pct: round((100 * cpu) / MICROS_PER_SECOND / nodeSeconds, 4),
@@ -190,8 +194,8 @@
 }
 
 /**
- * Readings of the list by the whole fleet, from the period that each instance keeps to at present. They
- * are too few to be counted in the time that is measured.
+ * Returns the rate of reads of the platform's instance list by the whole fleet, computed from the current
+ * read period of each instance. Too few reads fall into the measured time to count them.
  */
 function getListReadRate({ fleet }: ControlFleet): number {
   return fleet
@@ -201,7 +205,7 @@
 
 type Detection = Pick<ControlLine, 'detect_p50_ms' | 'detect_p99_ms' | 'false_deaths'>;
 
-/** Crashes one instance of each domain, at different times, and waits until the others know. */
+/** Crashes one instance per domain, at different times, and measures when the others declare it dead. */
 function measureDetection({ fleet, getDeaths }: ControlFleet): Detection {
   const random = createRandom(fleet.getInstances().length);
   const crashed = new Map<InstanceId, Millis>();
@@ -215,8 +219,8 @@
       fleet.advance(random.nextInt(MILLIS_PER_SECOND));
     }
   }
-  fleet.advance(DETECT_TIME);
-  const times = build({ highestTrackableValue: MAX_TRACKED });
+  fleet.advance(DETECTION_TIME);
+  const times = build({ highestTrackableValue: MAX_TRACKED_MS });
   let falseDeaths = 0;
   for (const { observer, id, at } of getDeaths()) {
     const crashedAt = crashed.get(id);
@@ -242,9 +246,9 @@
     .getInstances()
     .map(({ membership }) => membership.getCounters())
     .reduce(
-      (sum, one) => ({
-        messages: sum.messages + one.messagesSent,
-        bytes: sum.bytes + one.bytesSent,
+      (sum, counters) => ({
+        messages: sum.messages + counters.messagesSent,
+        bytes: sum.bytes + counters.bytesSent,
       }),
       { messages: 0, bytes: 0 },
     );
@@ -260,18 +264,23 @@
 
 function summarise(lines: readonly ControlLine[]): ControlSummary {
   const measured = lines.find(({ nodes }) => nodes === TARGET_SIZE);
-  // A domain's size is what some costs grow with until it is 85; the fleet grows by domains beyond it.
+  // Some costs grow with the domain size up to its maximum of 85; beyond it the fleet grows by domains.
   const full = lines.filter(({ nodes, domains }) => nodes === domains * DOMAIN_SIZE);
   const fitted = full.length > 1 ? full : lines;
   const fits = COST_FIELDS.map((field) => {
     const points = fitted.map((line) => [line.nodes, line[field]] as const);
     return { field, ...fitLine(points) };
   });
-  const slope = toCosts(fits.map(({ field, slope: rise }) => [field, 100 * rise]));
-  const drawn = toCosts(
-    fits.map(({ field, slope: rise, start }) => [field, start + rise * TARGET_SIZE]),
+  const slope = toCosts(fits.map(({ field, slope: slopePerNode }) => [field, 100 * slopePerNode]));
+  const extrapolated = toCosts(
+    fits.map(({ field, slope: slopePerNode, start: intercept }) => [
+      field,
+      intercept + slopePerNode * TARGET_SIZE,
+    ]),
   );
-  const at680 = measured ? toCosts(COST_FIELDS.map((field) => [field, measured[field]])) : drawn;
+  const at680 = measured
+    ? toCosts(COST_FIELDS.map((field) => [field, measured[field]]))
+    : extrapolated;
   return {
     bench: 'control',
     fitted_over: fitted.map(({ nodes }) => nodes),
@@ -292,14 +301,14 @@
   ) as ControlCosts;
 }
 
-/** The straight line that fits best by least squares. */
+/** Fits a straight line by least squares. */
 function fitLine(points: readonly (readonly [number, number])[]): { slope: number; start: number } {
   const count = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / count;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / count;
-  const spread = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
-  const shared = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0);
-  const slope = spread === 0 ? 0 : shared / spread;
+  const variance = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
+  const covariance = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0);
+  const slope = variance === 0 ? 0 : covariance / variance;
   return { slope, start: meanY - slope * meanX };
 }
 
--- a/packages/bench/src/ControlFleet.ts
+++ b/packages/bench/src/ControlFleet.ts
@@ -1,6 +1,7 @@
 /**
  * A fleet for the control bench: real membership, duties and load digests over virtual time, in front of
- * engines whose load wanders. Counts bytes and polls, and compares what is known with what is true.
+ * engines whose load follows a random walk. Counts polls and their bytes, and samples the age of the load
+ * data that each instance has.
  */
 import { LifeState } from '@skylarksail/core/CoreConstants';
 import type { EngineLoad } from '@skylarksail/core/CoreEngine';
@@ -24,8 +25,8 @@
   readonly load?: LoadGossipOptions;
 }
 
-/** An engine of the bench: its load drifts as requests come and go. */
-interface WanderingEngine {
+/** A simulated engine; its load follows a random walk. */
+interface BenchEngine {
   readonly id: EngineId;
   readonly load: EngineLoad;
   readonly changedAt: Millis;
@@ -37,8 +38,8 @@
   readonly loads: LoadGossip;
 }
 
-/** A member that one instance declared dead, or heard to be dead. */
-export interface SeenDeath {
+/** A member that became dead in the view of `observer`, by its own detection or by gossip. */
+export interface ObservedDeath {
   readonly observer: InstanceId;
   readonly id: InstanceId;
   readonly at: Millis;
@@ -46,23 +47,22 @@
 
 export interface ControlFleet {
   readonly fleet: VirtualFleet;
-  /** Polls of engines so far, and the bytes of their answers. */
+  /** Returns the number of engine polls so far and the bytes of their response bodies. */
   countPolls(): { readonly polls: number; readonly bytes: number };
-  /** How old each instance's word of each engine of its domain is; null if it has none. */
+  /** Age of the load data of each instance on each engine of its domain; null where it has none. */
   sampleLoadAges(): readonly (Millis | null)[];
-  getDeaths(): readonly SeenDeath[];
+  getDeaths(): readonly ObservedDeath[];
 }
 
 const MAX_BATCH = 64;
-const WANDER_PERIOD: Millis = 1000;
+const LOAD_STEP_PERIOD: Millis = 1000;
 
-/** Creates the fleet with its engines. */
 export function createControlFleet(options: ControlFleetOptions): ControlFleet {
   const random = createRandom(options.seed + 1);
   const pollPeriod = options.pollPeriod ?? LOAD_POLL_PERIOD;
-  const engines = new Map<string, Map<EngineId, WanderingEngine>>();
+  const engines = new Map<string, Map<EngineId, BenchEngine>>();
   const instances = new Map<string, ControlInstance>();
-  const deaths: SeenDeath[] = [];
+  const deaths: ObservedDeath[] = [];
   let polls = 0;
   let bytes = 0;
 
@@ -77,7 +77,7 @@
     const { listed, membership, timers } = instance;
     const duties = createDuties(listed, membership);
     const loads = createLoadGossip(options.load);
-    const own = engines.get(listed.domain) ?? new Map<EngineId, WanderingEngine>();
+    const own = engines.get(listed.domain) ?? new Map<EngineId, BenchEngine>();
     membership.registerTopic(loads.topic);
     duties.setDuties([...own.keys()]);
     instances.set(listed.id, { instance, duties, loads });
@@ -87,7 +87,7 @@
       for (const id of duties.getOwn()) {
         const engine = own.get(id);
         if (engine) {
-          own.set(id, wander(engine, random, now));
+          own.set(id, advanceLoad(engine, random, now));
           loads.recordLoad(engine.load, now);
           polls += 1;
           bytes += JSON.stringify(engine.load).length;
@@ -128,7 +128,7 @@
   };
 }
 
-function createEngine(id: EngineId, random: Random): WanderingEngine {
+function createEngine(id: EngineId, random: Random): BenchEngine {
   const load: EngineLoad = {
     engine: id,
     bootId: 'boot-1',
@@ -142,9 +142,9 @@
   return { id, load, changedAt: 0 };
 }
 
-/** One step of a random walk for each second since the last one. */
-function wander(engine: WanderingEngine, random: Random, now: Millis): WanderingEngine {
-  const steps = Math.min(30, Math.floor((now - engine.changedAt) / WANDER_PERIOD));
+/** Advances the random walk by one step per second since the last call, at most 30 steps. */
+function advanceLoad(engine: BenchEngine, random: Random, now: Millis): BenchEngine {
+  const steps = Math.min(30, Math.floor((now - engine.changedAt) / LOAD_STEP_PERIOD));
   if (steps <= 0) {
     return engine;
   }
--- a/packages/bench/src/ControlSuspicion.ts
+++ b/packages/bench/src/ControlSuspicion.ts
@@ -1,6 +1,6 @@
 /**
- * How often live instances are suspected or declared dead in error, at several sizes of a domain, under
- * loss of messages, pauses of single instances, and both.
+ * Measures how often live instances are wrongly suspected or declared dead, at several domain sizes, under
+ * message loss, pauses of single instances, and both.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import { createRandom } from '@skylarksail/core/CoreRandom';
@@ -12,7 +12,7 @@
 export interface ControlSuspicionOptions {
   readonly seed: number;
   readonly sizes?: readonly number[];
-  /** Virtual time of each run. */
+  /** Virtual time that each run measures. */
   readonly duration?: Millis;
 }
 
@@ -23,19 +23,22 @@
   readonly pause_ms: number;
   readonly pauses: number;
   readonly member_hours: number;
-  /** Times that a live member was suspected by anybody, and objected. */
+  /**
+   * Pairs of live member and incarnation that any instance suspected. A member raises its incarnation to
+   * refute a suspicion.
+   */
   readonly suspicions: number;
-  /** Live members declared dead by anybody. */
+  /** Pairs of live member and incarnation that any instance declared dead. */
   readonly false_deaths: number;
 }
 
-interface Trouble {
+interface FaultCase {
   readonly loss: number;
   readonly pause: Millis;
 }
 
 const SIZES = [7, 28, 85];
-const TROUBLES: readonly Trouble[] = [
+const FAULT_CASES: readonly FaultCase[] = [
   { loss: 0, pause: 0 },
   { loss: 0.2, pause: 0 },
   { loss: 0, pause: 2000 },
@@ -48,27 +51,27 @@
 const PAUSE_PERIOD: Millis = 6000;
 const MILLIS_PER_HOUR = 3600 * MILLIS_PER_SECOND;
 
-/** Runs each size under each trouble. */
+/** Runs each size with each combination of faults. */
 export function runControlSuspicionBench(
   options: ControlSuspicionOptions,
 ): readonly ControlSuspicionLine[] {
   return (options.sizes ?? SIZES).flatMap((members) =>
-    TROUBLES.map((trouble) => measureTrouble(members, trouble, options)),
+    FAULT_CASES.map((faultCase) => measureFaultCase(members, faultCase, options)),
   );
 }
 
-function measureTrouble(
+function measureFaultCase(
   members: number,
-  { loss, pause }: Trouble,
+  { loss, pause }: FaultCase,
   options: ControlSuspicionOptions,
 ): ControlSuspicionLine {
   const duration = options.duration ?? DURATION;
   const random = createRandom(options.seed);
   const suspicions = new Set<string>();
   const deaths = new Set<string>();
-  let isCounted = false;
+  let isCounting = false;
   function onChange(_observer: string, event: MembershipChange): void {
-    if (!isCounted || event.kind !== 'member') {
+    if (!isCounting || event.kind !== 'member') {
       return;
     }
     const { kind, id, record } = event.change;
@@ -82,7 +85,7 @@
   fleet.advance(START_TIME);
   fleet.convergeViews();
   fleet.advance(SETTLE_TIME);
-  isCounted = true;
+  isCounting = true;
   fleet.setLoss(loss);
   let pauses = 0;
   for (let passed = 0; passed < duration; passed += PAUSE_PERIOD) {
--- a/packages/bench/src/DaemonsBench.ts
+++ b/packages/bench/src/DaemonsBench.ts
@@ -1,6 +1,6 @@
 /**
- * What real daemons cost while no caller calls: processor, memory, bytes to peers and calls to the
- * platform, for several fleet sizes. The control bench gives the same without processes, for more.
+ * Measures what real daemons cost while no requests arrive: CPU, memory, bytes sent to peers and calls
+ * to the platform, at several fleet sizes. The control bench measures larger fleets without processes.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
@@ -11,11 +11,11 @@
 
 export interface DaemonsOptions {
   readonly seed: number;
-  /** Fleet sizes, each split over three domains. */
+  /** Fleet sizes in daemons, each spread over three domains. */
   readonly sizes?: readonly number[];
 }
 
-/** Cost of one daemon, the mean over the fleet. */
+/** Output line of one fleet size; costs are the mean of a daemon unless noted. */
 export interface DaemonsLine {
   readonly bench: 'daemons';
   readonly nodes: number;
@@ -24,7 +24,7 @@
   readonly rss_mb: number;
   readonly rss_max_mb: number;
   readonly peer_bytes_s: number;
-  /** Calls of the whole fleet. */
+  /** Platform calls of the whole fleet. */
   readonly platform_calls_s: number;
 }
 
@@ -40,7 +40,7 @@
 const MEASURE_MS = 5000;
 const BYTES_PER_MEBIBYTE = 1024 * 1024;
 
-/** Runs the sizes one after another. */
+/** Measures the fleet sizes one after another and prints a line for each. */
 export async function runDaemonsBench(
   { seed, sizes = SIZES }: DaemonsOptions,
   print: (line: DaemonsLine) => void,
--- a/packages/bench/src/DemoCallers.ts
+++ b/packages/bench/src/DemoCallers.ts
@@ -1,31 +1,34 @@
-/** Callers of the demo: each sends one request and records what it got, checked against what is right. */
+/** Callers of the demo: each sends one request, checks the response and records the result. */
 import type { Dispatcher } from 'undici';
 import { request } from 'undici';
 import { computeAnswer, renderPrompt } from '@skylarksail/stand-ins/StandInModel';
 
-/** What became of one request, as its caller saw it. */
+/** Result of one request as its caller saw it. */
 export interface CallerRecord {
+  /** Label of the request. */
   readonly what: string;
-  /** `answered`: whole and right. `refused`: a truthful error. The others must not happen. */
+  /** `answered`: complete and correct. `refused`: a truthful error. The others are failures. */
   readonly outcome: 'answered' | 'refused' | 'lost' | 'doubled' | 'cut off' | 'wrong';
   readonly detail: string;
   readonly tokens: number;
   readonly requestId: string;
-  /** What a refusal says of whether the request ran; null where there is none. */
+  /** Run state that a refusal reports; null if it reports none. */
   readonly run: string | null;
-  /** Longest pause between two tokens. */
+  /** Longest wait for a token; the wait for the first one begins when the request is sent. */
   readonly longestPauseMs: number;
 }
 
 export interface CompletionCall {
+  /** Label of the request. */
   readonly what: string;
+  /** Base URL of the daemon's listener for callers. */
   readonly callers: string;
   readonly key: string;
   readonly content: string;
   readonly maxTokens: number;
-  /** Connection to use; a shared pool if left out. */
+  /** Connection to use; defaults to undici's global dispatcher. */
   readonly dispatcher?: Dispatcher;
-  /** Called after each token with the number so far, and with the token. */
+  /** Called after each token with the number of tokens so far and the token. */
   readonly onToken?: (count: number, token: string) => void;
 }
 
@@ -40,16 +43,16 @@
   return { authorization: `Bearer ${key}`, 'content-type': 'application/json' };
 }
 
-/** Sends a streaming completion and judges the stream. */
+/** Sends a streaming completion and checks the streamed answer. */
 export async function streamCompletion(call: CompletionCall): Promise<CallerRecord> {
   let text = '';
   let tokens = 0;
   let isDone = false;
   let problem: ProblemShape | null = null;
   let longestPauseMs = 0;
-  let lastAt = performance.now();
+  let lastTokenAt = performance.now();
   let requestId = '';
-  const describe = (outcome: CallerRecord['outcome'], detail: string): CallerRecord => ({
+  const createRecord = (outcome: CallerRecord['outcome'], detail: string): CallerRecord => ({
     what: call.what,
     outcome,
     detail,
@@ -80,8 +83,8 @@
     if (content !== '') {
       text += content;
       tokens += 1;
-      longestPauseMs = Math.max(longestPauseMs, performance.now() - lastAt);
-      lastAt = performance.now();
+      longestPauseMs = Math.max(longestPauseMs, performance.now() - lastTokenAt);
+      lastTokenAt = performance.now();
       call.onToken?.(tokens, content);
     }
   }
@@ -96,31 +99,31 @@
     requestId = String(res.headers['x-request-id'] ?? '');
     if (res.statusCode !== STATUS_OK) {
       problem = (await res.body.json()) as ProblemShape;
-      return describe('refused', describeProblem(problem));
+      return createRecord('refused', describeProblem(problem));
     }
-    let rest = '';
+    let incompleteEvent = '';
     for await (const chunk of res.body as AsyncIterable<Buffer>) {
-      const events = (rest + chunk.toString()).split('\n\n');
-      rest = events.pop() ?? '';
+      const events = (incompleteEvent + chunk.toString()).split('\n\n');
+      incompleteEvent = events.pop() ?? '';
       events.forEach(readEvent);
     }
   } catch (err) {
-    return describe(isDone ? 'answered' : 'cut off', (err as Error).message);
+    return createRecord(isDone ? 'answered' : 'cut off', (err as Error).message);
   }
   if (problem) {
-    return describe('refused', describeProblem(problem));
+    return createRecord('refused', describeProblem(problem));
   }
-  return isDone ? judgeText(call, text, describe) : describe('cut off', 'no end mark');
+  return isDone ? checkAnswer(call, text, createRecord) : createRecord('cut off', 'no end mark');
 }
 
-/** Sends a completion that is answered as a whole. */
+/** Sends a completion without streaming and checks the answer. */
 export async function sendCompletion(call: CompletionCall): Promise<CallerRecord> {
   const res = await request(`${call.callers}/v1/chat/completions`, {
     method: 'POST',
     headers: createHeaders(call.key),
     body: JSON.stringify(createBody(call, false)),
   });
-  const describe = (outcome: CallerRecord['outcome'], detail: string): CallerRecord => ({
+  const createRecord = (outcome: CallerRecord['outcome'], detail: string): CallerRecord => ({
     what: call.what,
     outcome,
     detail,
@@ -133,8 +136,8 @@
     choices?: { message: { content: string } }[];
   };
   return res.statusCode === STATUS_OK
-    ? judgeText(call, body.choices?.[0]?.message.content ?? '', describe)
-    : describe('refused', describeProblem(body));
+    ? checkAnswer(call, body.choices?.[0]?.message.content ?? '', createRecord)
+    : createRecord('refused', describeProblem(body));
 }
 
 function createBody({ content, maxTokens }: CompletionCall, stream: boolean): unknown {
@@ -150,36 +153,38 @@
   return `${type ?? 'no type'}, ${run ?? 'no word on whether it ran'}`;
 }
 
-function judgeText(
+function checkAnswer(
   { content, maxTokens }: CompletionCall,
   text: string,
-  describe: (outcome: CallerRecord['outcome'], detail: string) => CallerRecord,
+  createRecord: (outcome: CallerRecord['outcome'], detail: string) => CallerRecord,
 ): CallerRecord {
-  const right = computeAnswer(renderPrompt([{ role: 'user', content }]), maxTokens);
-  if (text === right.text) {
-    return describe('answered', `${right.tokens} tokens, as they should be`);
+  const expected = computeAnswer(renderPrompt([{ role: 'user', content }]), maxTokens);
+  if (text === expected.text) {
+    return createRecord('answered', `${expected.tokens} tokens, as they should be`);
   }
   const words = text.trim().split(' ');
   return new Set(words).size < words.length
-    ? describe('doubled', 'a token came twice')
-    : describe('wrong', 'the answer is not the right one');
+    ? createRecord('doubled', 'a token came twice')
+    : createRecord('wrong', 'the answer is not the right one');
 }
 
 export interface ServiceCall {
+  /** Label of the request. */
   readonly what: string;
+  /** Base URL of the daemon's listener for callers. */
   readonly callers: string;
   readonly key: string;
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly idempotencyKey?: string;
-  /** Connection to use; a shared pool if left out. */
+  /** Connection to use; defaults to undici's global dispatcher. */
   readonly dispatcher?: Dispatcher;
 }
 
-/** Calls a plain service. */
+/** Sends a request to the plain service. */
 export async function callService(call: ServiceCall): Promise<CallerRecord> {
   let requestId = '';
-  const describe = (
+  const createRecord = (
     outcome: CallerRecord['outcome'],
     detail: string,
     run: string | null = null,
@@ -205,11 +210,11 @@
     requestId = String(res.headers['x-request-id'] ?? '');
     const text = await res.body.text();
     if (res.statusCode === STATUS_OK) {
-      return describe('answered', text);
+      return createRecord('answered', text);
     }
     const problem = JSON.parse(text) as ProblemShape;
-    return describe('refused', describeProblem(problem), problem.run ?? null);
+    return createRecord('refused', describeProblem(problem), problem.run ?? null);
   } catch (err) {
-    return describe('cut off', (err as Error).message);
+    return createRecord('cut off', (err as Error).message);
   }
 }
--- a/packages/bench/src/DemoMain.ts
+++ b/packages/bench/src/DemoMain.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: a whole stack on loopback, with failures, and what each caller got. */
+/** `npm run demo`: runs a stack on loopback, injects failures and prints each caller's result. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
 import type { LayerPass, ServiceEffect } from '@skylarksail/stand-ins/StandInLedger';
@@ -11,23 +11,26 @@
 
 const LONG_ANSWER_TOKENS = 120;
 const SHORT_ANSWER_TOKENS = 24;
-const STREAMS_THROUGH_A_FAILURE = 4;
-const CRASH_DOWN_MS = 2000;
+const STREAMS_PER_FAILURE = 4;
+const CRASH_DOWNTIME_MS = 2000;
 const OUTAGE_MS = 3000;
 const TOKENS_BEFORE_FAILURE = 5;
-const SHOWN_FAULTS = 10;
+const MAX_SHOWN_VIOLATIONS = 10;
 
-/** Runs the demo; gives the exit code, 0 only if no answer was lost, doubled or cut off. */
+/**
+ * Runs the demo; returns the exit code, 0 only if no answer was lost, doubled or cut off and the
+ * receipt was carried out exactly once.
+ */
 export async function runDemo(): Promise<number> {
   print('starting stand-ins and three daemons, submitting a manifest by command line');
   const stack = await launchStack(DEFAULT_STACK_SIZE);
   try {
     const records = [
-      ...(await showPlainAnswers(stack)),
-      ...(await showKeyedCall(stack)),
-      ...(await showStageCrash(stack)),
-      ...(await showPlatformOutage(stack)),
-      ...(await showGracefulStop(stack)),
+      ...(await runPlainAnswers(stack)),
+      ...(await runKeyedCall(stack)),
+      ...(await runStageCrash(stack)),
+      ...(await runPlatformOutage(stack)),
+      ...(await runGracefulStop(stack)),
     ];
     return await report(stack, records);
   } finally {
@@ -39,7 +42,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-function show(records: readonly CallerRecord[]): readonly CallerRecord[] {
+function printRecords(records: readonly CallerRecord[]): readonly CallerRecord[] {
   records.forEach(({ what, outcome, detail, longestPauseMs }) => {
     const pause = longestPauseMs > 0 ? `, longest pause ${longestPauseMs} ms` : '';
     print(`  ${what}: ${outcome} (${detail}${pause})`);
@@ -47,7 +50,7 @@
   return records;
 }
 
-/** Lets callers go on at a moment of the stream, once. */
+/** Creates a promise that resolves at the first call of `reach`. */
 function createSignal(): { readonly reached: Promise<void>; readonly reach: () => void } {
   let reach = (): void => undefined;
   const reached = new Promise<void>((resolve) => {
@@ -68,7 +71,7 @@
   };
 }
 
-async function showPlainAnswers(stack: Stack): Promise<readonly CallerRecord[]> {
+async function runPlainAnswers(stack: Stack): Promise<readonly CallerRecord[]> {
   print('streaming and whole answers, and a plain service, through every daemon');
   const records = await Promise.all(
     stack.daemons.flatMap(({ id, callers }, i) => [
@@ -83,11 +86,11 @@
       }),
     ]),
   );
-  return show(records);
+  return printRecords(records);
 }
 
-/** One receipt, sent again by its caller through each of the other daemons. */
-async function showKeyedCall(stack: Stack): Promise<readonly CallerRecord[]> {
+/** Sends one receipt, with the same idempotency key, through each daemon in turn. */
+async function runKeyedCall(stack: Stack): Promise<readonly CallerRecord[]> {
   print('a receipt with an idempotency key, sent through every daemon in turn');
   const records: CallerRecord[] = [];
   for (const { id, callers } of stack.daemons) {
@@ -102,7 +105,7 @@
       }),
     );
   }
-  return show(records);
+  return printRecords(records);
 }
 
 async function setFault(url: string, fault: Readonly<Record<string, unknown>>): Promise<void> {
@@ -114,10 +117,10 @@
   await res.body.dump();
 }
 
-async function showStageCrash(stack: Stack): Promise<readonly CallerRecord[]> {
+async function runStageCrash(stack: Stack): Promise<readonly CallerRecord[]> {
   print('an engine crashes in the middle of answers');
   const { reached, reach } = createSignal();
-  const answers = Array.from({ length: STREAMS_THROUGH_A_FAILURE }, (_, i) =>
+  const answers = Array.from({ length: STREAMS_PER_FAILURE }, (_, i) =>
     streamCompletion({
       ...createCall(stack, i * stack.daemons.length, 'letter', LONG_ANSWER_TOKENS),
       onToken: (count) => {
@@ -130,11 +133,11 @@
   await reached;
   const victim = await findBusyEngine(stack, stack.daemons[0]?.domain ?? '');
   print(`  crashing ${victim.id}`);
-  await setFault(victim.url, { kind: 'crash', ms: CRASH_DOWN_MS });
-  return show(await Promise.all(answers));
+  await setFault(victim.url, { kind: 'crash', ms: CRASH_DOWNTIME_MS });
+  return printRecords(await Promise.all(answers));
 }
 
-/** The engine that made the most passes last: surely one that runs answers now. */
+/** Finds the domain's engine with the most recorded layer passes, as one that is serving streams. */
 async function findBusyEngine(stack: Stack, domain: string): Promise<StackServer> {
   const counted = await Promise.all(
     stack.engines
@@ -157,7 +160,7 @@
   }
 }
 
-async function showPlatformOutage(stack: Stack): Promise<readonly CallerRecord[]> {
+async function runPlatformOutage(stack: Stack): Promise<readonly CallerRecord[]> {
   print('the configuration service is cut off');
   await setFault(stack.platform, { kind: 'outage', ms: OUTAGE_MS });
   const records = await Promise.all(
@@ -166,14 +169,14 @@
     ),
   );
   await sleep(OUTAGE_MS);
-  return show(records);
+  return printRecords(records);
 }
 
-async function showGracefulStop(stack: Stack): Promise<readonly CallerRecord[]> {
+async function runGracefulStop(stack: Stack): Promise<readonly CallerRecord[]> {
   print('one daemon is stopped while it answers');
   const { reached, reach } = createSignal();
   const last = stack.daemons.length - 1;
-  const answers = Array.from({ length: STREAMS_THROUGH_A_FAILURE }, (_, i) =>
+  const answers = Array.from({ length: STREAMS_PER_FAILURE }, (_, i) =>
     streamCompletion({
       ...createCall(stack, last + i * stack.daemons.length, 'letter', LONG_ANSWER_TOKENS),
       onToken: (count) => {
@@ -185,15 +188,15 @@
   );
   await reached;
   const stopped = stack.daemons[last]?.process.stop();
-  const records = show(await Promise.all(answers));
+  const records = printRecords(await Promise.all(answers));
   await stopped;
   return records;
 }
 
-/** Sums up what callers saw and what the stand-ins ran. */
+/** Prints a summary of the callers' results and the stand-ins' ledgers; returns the exit code. */
 async function report(stack: Stack, records: readonly CallerRecord[]): Promise<number> {
   const passes = (await Promise.all(stack.engines.map(readPasses))).flat();
-  const layerFaults = records
+  const layerViolations = records
     .filter(({ outcome, tokens }) => outcome === 'answered' && tokens > 0)
     .flatMap(({ requestId, tokens }) =>
       findLayerViolations(
@@ -202,12 +205,12 @@
         tokens,
       ),
     );
-  layerFaults.slice(0, SHOWN_FAULTS).forEach((fault) => print(`  layers: ${fault}`));
+  layerViolations.slice(0, MAX_SHOWN_VIOLATIONS).forEach((fault) => print(`  layers: ${fault}`));
   const effects = (await Promise.all(stack.services.map(readEffects))).flat();
   const receipts = effects.filter(({ path }) => path === '/receipts').length;
   const count = (outcome: CallerRecord['outcome']): number =>
     records.filter((record) => record.outcome === outcome).length;
-  const lost = count('lost') + count('wrong') + layerFaults.length;
+  const lost = count('lost') + count('wrong') + layerViolations.length;
   const doubled = count('doubled') + Math.max(0, receipts - 1);
   const cutOff = count('cut off');
   print(`  receipts carried out: ${receipts}; refused with a truthful error: ${count('refused')}`);
--- a/packages/bench/src/IdleBench.ts
+++ b/packages/bench/src/IdleBench.ts
@@ -1,7 +1,7 @@
 /**
- * What an instance of the users' platform takes while it has next to nothing to do: the real relay over
- * virtual time, beside as many others as a fleet has. Sockets and the processes of others are left out, so
- * what is measured is the product's own code and its garbage.
+ * Measures the processor time and store calls of one instance that serves no requests, in fleets of several
+ * sizes. Runs the real relay over virtual time; the other instances exist as store entries only and there
+ * are no sockets, so the figures cover the product's own code and its garbage collection.
  */
 import { performance } from 'node:perf_hooks';
 import { setFlagsFromString } from 'node:v8';
@@ -17,47 +17,48 @@
 import { createFakeRangeStore } from '@skylarksail/store/FakeRangeStore';
 import { KEY_PREFIX, CONFIG_KEY, createIdleConfig, createIdleEngine } from './IdleFleet.js';
 
-/** What happens while an instance is measured. */
+/** Activity in the store during the measurement. */
 const IdleLoad = {
-  Rest: 'rest',
-  /** An engine's entry changes each second. */
-  News: 'news',
+  /** Nothing changes. */
+  Idle: 'rest',
+  /** The entry of one engine is written each second. */
+  Updates: 'news',
 } as const;
 
 type IdleLoadName = (typeof IdleLoad)[keyof typeof IdleLoad];
 
 export interface IdleBenchOptions {
   readonly seed: number;
-  /** Instances of the fleet; it has as many engines. */
+  /** Numbers of instances; the fleet has the same number of engines. */
   readonly sizes?: readonly number[];
 }
 
-/** Cost of one instance at one size of the fleet. */
+/** Cost of one instance at one fleet size. */
 export interface IdleLine {
   readonly bench: 'idle';
   readonly load: IdleLoadName;
   readonly instances: number;
   readonly engines: number;
-  /** Processor time of the product's code, in percent of a core. */
+  /** Processor time of the product's code, as a percentage of a core. */
   readonly cpu_pct: number;
-  /** Calls to the store of this one instance. */
+  /** Calls that the measured instance makes to the store. */
   readonly store_calls_s: number;
 }
 
 const DEFAULT_SIZES = [30, 100, 195, 300];
 const DOMAINS = 5;
-/** Time in which the instance takes in the fleet and settles. */
+/** Time in which the instance reads the fleet from the store and reaches a steady state. */
 const SETTLE_TIME: Millis = 15_000;
 const MEASURE_TIME: Millis = 30_000;
-const NEWS_PERIOD: Millis = 1000;
+const UPDATE_PERIOD: Millis = 1000;
 const PERCENT = 100;
 
-/** Runs each size under each load and prints a line for each. */
+/** Runs each size with each kind of activity and prints a line for each. */
 export async function runIdleBench(
   { seed, sizes = DEFAULT_SIZES }: IdleBenchOptions,
   print: (line: IdleLine) => void,
 ): Promise<void> {
-  // Without it the first case is charged for the compiling of all.
+  // Without this flag the first case also pays for compilation that all cases share.
   setFlagsFromString('--no-lazy-feedback-allocation');
   for (const instances of sizes) {
     for (const load of Object.values(IdleLoad)) {
@@ -103,28 +104,28 @@
     metrics: createDaemonMetrics(),
   });
   await timers.advanceToAsync(SETTLE_TIME);
-  const undo =
-    load === IdleLoad.News
-      ? timers.registerInterval(NEWS_PERIOD, () => {
+  const stopUpdates =
+    load === IdleLoad.Updates
+      ? timers.registerInterval(UPDATE_PERIOD, () => {
           const engine = engines[random.nextInt(engines.length)];
           if (engine) {
             putEngine({ ...engine, state: random.nextInt(2) === 0 ? 'live' : 'leaving' });
           }
         })
       : () => undefined;
-  const calls = store.countCalls();
+  const callsBefore = store.countCalls();
   const startedAt = performance.now();
   await timers.advanceToAsync(SETTLE_TIME + MEASURE_TIME);
-  const spent = performance.now() - startedAt;
-  undo();
+  const elapsed = performance.now() - startedAt;
+  stopUpdates();
   parts.stop();
   return {
     bench: 'idle',
     load,
     instances,
     engines: engines.length,
-    cpu_pct: round((PERCENT * spent) / MEASURE_TIME),
-    store_calls_s: round(((store.countCalls() - calls) * MILLIS_PER_SECOND) / MEASURE_TIME),
+    cpu_pct: round((PERCENT * elapsed) / MEASURE_TIME),
+    store_calls_s: round(((store.countCalls() - callsBefore) * MILLIS_PER_SECOND) / MEASURE_TIME),
   };
 }
 
--- a/packages/bench/src/IdleFleet.ts
+++ b/packages/bench/src/IdleFleet.ts
@@ -1,4 +1,4 @@
-/** The engines and the configuration of the fleet that an idle instance is measured beside. */
+/** The engines and the configuration of the fleet in the idle bench. */
 import type { BackendEntry } from '@skylarksail/relay/RelayTypes';
 import type { PipelineFacts, RouteConfig } from '@skylarksail/routes/RouteTypes';
 
@@ -8,8 +8,8 @@
 const SERVICE = 'letters';
 const GIB = 2 ** 30;
 const LAYERS = 80;
-/** Layers that the engines of one range hold, so that each range has several engines in a domain. */
-const LAYERS_HELD = 10;
+/** Layers per engine, so that each range has several engines in a domain of a large fleet. */
+const LAYERS_PER_ENGINE = 10;
 const FIRST_PORT = 8000;
 
 const PIPELINE: PipelineFacts = {
@@ -29,9 +29,9 @@
   usualAnswerTokens: 150,
 };
 
-/** The engine with a number, in one of `domains` failure domains, with one of the model's ranges. */
+/** Creates engine number `i`; numbers rotate through the failure domains, then through the layer ranges. */
 export function createIdleEngine(i: number, domains: number): BackendEntry {
-  const first = (Math.floor(i / domains) * LAYERS_HELD) % LAYERS;
+  const first = (Math.floor(i / domains) * LAYERS_PER_ENGINE) % LAYERS;
   return {
     id: `e${i}`,
     server: `e${i}`,
@@ -41,11 +41,11 @@
     domain: `d${i % domains}`,
     state: 'live',
     accelerator: 'card',
-    layers: { first, end: first + LAYERS_HELD },
+    layers: { first, end: first + LAYERS_PER_ENGINE },
   };
 }
 
-/** One route to one pipeline. */
+/** Creates a configuration with one route to one pipeline. */
 export function createIdleConfig(): RouteConfig {
   return {
     version: 1,
--- a/packages/bench/src/OverheadBench.ts
+++ b/packages/bench/src/OverheadBench.ts
@@ -1,7 +1,7 @@
 /**
- * What one daemon costs: requests and tokens a second on one core, time added to the first token and
- * between tokens against the stand-in engines called directly, memory of a running stream, many steady
- * streams, and callers that do not read.
+ * The overhead bench: the cost of one daemon. It measures requests and tokens per second on one core, the
+ * latency added to the first token and between tokens compared with direct calls to the stand-in engines,
+ * memory per running stream, many steady streams, and callers that do not read.
  */
 import { build } from 'hdr-histogram-js';
 import { Agent } from 'undici';
@@ -26,8 +26,8 @@
   readonly seed: number;
 }
 
-/** The whole. Times are medians and 95th percentiles in milliseconds. */
-export interface WholeLine {
+/** The summary. Times are medians and 95th percentiles in milliseconds. */
+export interface SummaryLine {
   readonly bench: 'overhead';
   readonly requests_s: number;
   readonly tokens_s: number;
@@ -44,8 +44,8 @@
   readonly failed: number;
 }
 
-/** A line of the bench; the last one is the whole. */
-export type OverheadLine = SteadyLine | PausedLine | WholeLine;
+/** A line of the bench; the last one is the summary. */
+export type OverheadLine = SteadyLine | PausedLine | SummaryLine;
 
 const STREAMS = 48;
 const LOAD_TOKENS = 100;
@@ -55,9 +55,9 @@
 const LATENCY_TOKENS = 40;
 const LATENCY_STEP_MS = 1;
 const STEADY_STEP_MS = 50;
-const STEADY_STREAMS = [500, 1000];
+const STEADY_STREAM_COUNTS = [500, 1000];
 
-/** Runs the parts on stacks of their own. */
+/** Runs the bench; each part has its own stack. */
 export async function runOverheadBench(
   { seed }: OverheadOptions,
   print: (line: OverheadLine) => void,
@@ -71,7 +71,7 @@
       engineProcesses: 5,
       stepMsPerLayer: STEADY_STEP_MS,
     },
-    (stack) => measureSteadyStreams(stack, STEADY_STREAMS, print),
+    (stack) => measureSteadyStreams(stack, STEADY_STREAM_COUNTS, print),
   );
   const { through, direct } = await withStack(
     { ...size, layers: 4, stepMsPerLayer: LATENCY_STEP_MS },
@@ -111,23 +111,29 @@
   }
 }
 
-/** Closed loop of streams against engines that take no time: what the daemon's core can carry. */
+/**
+ * Measures the throughput of one daemon core: a closed loop of streams against engines that compute in no
+ * time.
+ */
 async function measureLoad(stack: Stack) {
   const agent = new Agent({ connections: STREAMS });
   const pid = getDaemonPid(stack);
   let isMeasuring = false;
-  let isOver = false;
+  let isStopped = false;
   let requests = 0;
   let tokens = 0;
   let failed = 0;
 
   async function runCaller(caller: number): Promise<void> {
-    for (let i = 0; !isOver; i++) {
-      const got = await readStream(agent, createDaemonRequest(stack, LOAD_TOKENS, caller * 1000 + i));
+    for (let i = 0; !isStopped; i++) {
+      const received = await readStream(
+        agent,
+        createDaemonRequest(stack, LOAD_TOKENS, caller * 1000 + i),
+      );
       if (isMeasuring) {
         requests += 1;
-        tokens += Math.max(0, got);
-        failed += got < LOAD_TOKENS ? 1 : 0;
+        tokens += Math.max(0, received);
+        failed += received < LOAD_TOKENS ? 1 : 0;
       }
     }
   }
@@ -141,7 +147,7 @@
   isMeasuring = false;
   const seconds = (performance.now() - startedAt) / 1000;
   const cores = (readCpuSeconds(pid) - cpuBefore) / seconds;
-  isOver = true;
+  isStopped = true;
   await Promise.all(callers);
   await agent.close();
   return {
@@ -154,7 +160,7 @@
   };
 }
 
-/** One stream at a time, through the daemon and directly, in turn. */
+/** Measures one stream at a time, alternately through the daemon and directly at an engine. */
 async function measureLatency(
   stack: Stack,
 ): Promise<{ readonly through: StreamTimes; readonly direct: StreamTimes }> {
--- a/packages/bench/src/OverheadCases.ts
+++ b/packages/bench/src/OverheadCases.ts
@@ -1,15 +1,25 @@
-/** Cases of the overhead bench with many streams at the pace of real engines, and with slow readers. */
+/**
+ * Cases of the overhead bench with many streams at the token rate of real engines, and with callers that do
+ * not read.
+ */
 import { once } from 'node:events';
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 import { build } from 'hdr-histogram-js';
 import { Agent } from 'undici';
 import type { StreamTimes } from './OverheadStreams.js';
-import { createDaemonRequest, getPercentileMs, getDaemonPid, readStream, round, wait } from './OverheadStreams.js';
+import {
+  createDaemonRequest,
+  getPercentileMs,
+  getDaemonPid,
+  readStream,
+  round,
+  wait,
+} from './OverheadStreams.js';
 import { readCpuSeconds, readResidentBytes } from './BenchProcess.js';
 import type { Stack } from './StackLauncher.js';
 
-/** So many streams at the pace of the engines. `short` counts streams that broke off. */
+/** Results for `streams` streams at the token rate of the engines. `short` counts incomplete streams. */
 export interface SteadyLine {
   readonly bench: 'overhead';
   readonly case: string;
@@ -22,12 +32,15 @@
   readonly short: number;
 }
 
-/** Callers that read nothing beside callers that do: memory, and what the others feel. */
+/**
+ * Results for callers that read nothing, alongside callers that do: memory per paused caller, and the token
+ * gaps of the other callers.
+ */
 export interface PausedLine {
   readonly bench: 'overhead';
   readonly case: 'paused-readers';
   readonly paused: number;
-  /** Resident memory that each paused stream added between the two looks. */
+  /** Growth of resident memory per paused stream during the measurement. */
   readonly bytes_per_paused: number;
   readonly gap_p95_alone_ms: number;
   readonly gap_p95_beside_ms: number;
@@ -44,36 +57,36 @@
 const READER_TOKENS = 4000;
 const PAUSED_READERS = 40;
 const PAUSED_TOKENS = 20_000;
-const PAUSED_MS = 3000;
+const PAUSED_MEASURE_MS = 3000;
 
-/** Streams that go on until they are told to stop; counts what comes. */
-interface StreamCrowd {
+/** Streams that are repeated until they are stopped; counts their tokens and gaps. */
+interface StreamGroup {
   start(): void;
-  /** From here on tokens and gaps are counted anew. */
+  /** Restarts the counts; the object returned is updated until the next reset. */
   reset(): { tokens: number; readonly times: StreamTimes };
-  getShort(): number;
+  getIncompleteCount(): number;
   stop(): Promise<void>;
 }
 
-function createCrowd(stack: Stack, tokensEach: number): StreamCrowd {
+function createStreamGroup(stack: Stack, tokensEach: number): StreamGroup {
   const agent = new Agent({ connections: null });
   const running: Promise<void>[] = [];
-  let isOver = false;
+  let isStopped = false;
   let short = 0;
   let times: StreamTimes = { first: build(), gap: build() };
-  let counted = { tokens: 0, times };
+  let measurement = { tokens: 0, times };
 
   const getTimes = (): StreamTimes => times;
   const countTokens = (count: number): void => {
-    counted.tokens += count;
+    measurement.tokens += count;
   };
 
   async function run(number: number): Promise<void> {
     const ask = createDaemonRequest(stack, tokensEach, number);
-    while (!isOver) {
-      const got = await readStream(agent, ask, getTimes, countTokens).catch(() => -1);
-      short += isOver || got === tokensEach ? 0 : 1;
-      // A refusal while the daemon's limit still rises is asked again, as a caller would.
+    while (!isStopped) {
+      const received = await readStream(agent, ask, getTimes, countTokens).catch(() => -1);
+      short += isStopped || received === tokensEach ? 0 : 1;
+      // Retries a refusal while the daemon's admission limit still rises, as a caller would.
       await wait(RETRY_MS);
     }
   }
@@ -84,40 +97,40 @@
     },
     reset() {
       times = { first: build(), gap: build() };
-      counted = { tokens: 0, times };
+      measurement = { tokens: 0, times };
       short = 0;
-      return counted;
+      return measurement;
     },
-    getShort: () => short,
+    getIncompleteCount: () => short,
     async stop() {
-      isOver = true;
+      isStopped = true;
       await agent.destroy();
       await Promise.all(running);
     },
   };
 }
 
-/** Adds streams up to each count in turn, and measures once they have settled. */
+/** Adds streams up to each count in turn, and measures after a settling time. */
 export async function measureSteadyStreams(
   stack: Stack,
   counts: readonly number[],
   print: (line: SteadyLine) => void,
 ): Promise<readonly SteadyLine[]> {
   const pid = getDaemonPid(stack);
-  const crowd = createCrowd(stack, STEADY_TOKENS);
+  const group = createStreamGroup(stack, STEADY_TOKENS);
   const lines: SteadyLine[] = [];
   let started = 0;
   const idleBytes = readResidentBytes(pid);
   for (const count of counts) {
     while (started < count) {
       for (let i = 0; i < STARTS_PER_BURST; i++) {
-        crowd.start();
+        group.start();
       }
       started += STARTS_PER_BURST;
       await wait(BURST_PERIOD_MS);
     }
     await wait(SETTLE_MS);
-    const counted = crowd.reset();
+    const measurement = group.reset();
     const cpuBefore = readCpuSeconds(pid);
     const startedAt = performance.now();
     await wait(STEADY_MS);
@@ -127,38 +140,38 @@
       bench: 'overhead',
       case: `${count} streams at 20 tokens/s`,
       streams: count,
-      tokens_s: round(counted.tokens / seconds),
+      tokens_s: round(measurement.tokens / seconds),
       daemon_cores: round(cpu / seconds),
-      us_per_token: round((cpu * 1e6) / counted.tokens),
-      gap_p95_ms: getPercentileMs(counted.times.gap, 95),
+      us_per_token: round((cpu * 1e6) / measurement.tokens),
+      gap_p95_ms: getPercentileMs(measurement.times.gap, 95),
       stream_bytes: Math.round((readResidentBytes(pid) - idleBytes) / count),
-      short: crowd.getShort(),
+      short: group.getIncompleteCount(),
     };
     lines.push(line);
     print(line);
   }
-  await crowd.stop();
+  await group.stop();
   return lines;
 }
 
-/** Readers alone, then beside callers that ask for long answers and read none of them. */
+/** Measures readers alone, then alongside callers that request long answers and read none of them. */
 export async function measurePausedReaders(stack: Stack): Promise<PausedLine> {
   const pid = getDaemonPid(stack);
-  const crowd = createCrowd(stack, READER_TOKENS);
+  const group = createStreamGroup(stack, READER_TOKENS);
   for (let i = 0; i < READERS; i++) {
-    crowd.start();
+    group.start();
   }
   await wait(SETTLE_MS);
-  const alone = crowd.reset();
-  await wait(PAUSED_MS);
+  const alone = group.reset();
+  await wait(PAUSED_MEASURE_MS);
   const gapAlone = getPercentileMs(alone.times.gap, 95);
   const sockets = await Promise.all(
     Array.from({ length: PAUSED_READERS }, (_, i) => openPausedReader(stack, i)),
   );
   await wait(SETTLE_MS);
   const before = readResidentBytes(pid);
-  const beside = crowd.reset();
-  await wait(PAUSED_MS);
+  const beside = group.reset();
+  await wait(PAUSED_MEASURE_MS);
   const line: PausedLine = {
     bench: 'overhead',
     case: 'paused-readers',
@@ -166,14 +179,14 @@
     bytes_per_paused: Math.round((readResidentBytes(pid) - before) / PAUSED_READERS),
     gap_p95_alone_ms: gapAlone,
     gap_p95_beside_ms: getPercentileMs(beside.times.gap, 95),
-    short: crowd.getShort(),
+    short: group.getIncompleteCount(),
   };
   sockets.forEach((socket) => socket.destroy());
-  await crowd.stop();
+  await group.stop();
   return line;
 }
 
-/** Asks for a long answer on a socket of its own and never reads it. */
+/** Requests a long answer on a separate socket and never reads it. */
 async function openPausedReader(stack: Stack, number: number): Promise<Socket> {
   const { url, headers, body } = createDaemonRequest(stack, PAUSED_TOKENS, number);
   const { hostname, port, pathname } = new URL(url);
--- a/packages/bench/src/OverheadStreams.ts
+++ b/packages/bench/src/OverheadStreams.ts
@@ -1,4 +1,4 @@
-/** What the overhead bench asks, reads and measures: streams, their times, and a process's use. */
+/** Stream requests of the overhead bench, and the reading and timing of their responses. */
 import type { Histogram } from 'hdr-histogram-js';
 import type { Agent } from 'undici';
 import type { Stack } from './StackLauncher.js';
@@ -8,6 +8,7 @@
 const DEADLINE_MS = 600_000;
 const SHORT_ANSWER_KEY = STACK_TEAMS[0].key;
 
+/** Histograms of the time to first token and of the gaps between tokens, in hundredths of a millisecond. */
 export interface StreamTimes {
   readonly first: Histogram;
   readonly gap: Histogram;
@@ -17,15 +18,15 @@
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: unknown;
-  /** Text that stands once in each token's part of the stream. */
+  /** Text that occurs once per token in the stream. */
   readonly tokenMark: string;
-  /** Text that ends a whole stream. */
+  /** Text that occurs at the end of a complete stream. */
   readonly endMark: string;
 }
 
 /**
- * Reads one stream; gives its tokens, or -1 if it was not whole. Times go into the histograms that
- * `getTimes` gives then; `onTokens` hears how many tokens came at once.
+ * Reads one stream; returns its number of tokens, or -1 if it is incomplete. Each time is recorded in the
+ * histograms that `getTimes` returns at that moment; `onTokens` gets the number of tokens in a chunk.
  */
 export async function readStream(
   agent: Agent,
@@ -45,13 +46,13 @@
   let tokens = 0;
   let lastAt = startedAt;
   let tail = '';
-  let rest = '';
+  let partialMark = '';
   for await (const chunk of res.body as AsyncIterable<Buffer>) {
-    const text = rest + chunk.toString();
+    const text = partialMark + chunk.toString();
     const parts = text.split(ask.tokenMark);
     const count = parts.length - 1;
-    // A mark that is cut between two chunks counts with the second one.
-    rest = (parts.at(-1) ?? '').slice(1 - ask.tokenMark.length);
+    // A mark that is split across two chunks counts with the second one.
+    partialMark = (parts.at(-1) ?? '').slice(1 - ask.tokenMark.length);
     if (count > 0) {
       const now = performance.now();
       const times = getTimes?.();
@@ -71,7 +72,7 @@
     url: `${stack.daemons[0]?.callers}/v1/chat/completions`,
     headers: {
       authorization: `Bearer ${SHORT_ANSWER_KEY}`,
-      // A long answer would be refused at once if it could not end in time.
+      // With a short deadline a long answer would be refused at once, as it could not end in time.
       'x-deadline-ms': String(DEADLINE_MS),
     },
     body: {
--- a/packages/bench/src/PlatformBench.ts
+++ b/packages/bench/src/PlatformBench.ts
@@ -1,6 +1,6 @@
 /**
- * Calls that a fleet makes to the platform's service against its size, in virtual time, when every
- * instance wants more than its part: what is measured is the budget's bound.
+ * Measures, in virtual time, how many calls a fleet makes to the platform at several fleet sizes.
+ * Every instance attempts more calls than its share of the call budget, so the rates show that limit.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import { createRandom } from '@skylarksail/core/CoreRandom';
@@ -8,26 +8,27 @@
 import { createFakeStore } from '@skylarksail/store/FakeStore';
 import { createStoreClient } from '@skylarksail/store/StoreClient';
 
-/** One line of the bench. Rates are of the whole fleet. */
+/** Output line of one fleet size. Rates are calls per second of the whole fleet. */
 export interface PlatformBenchLine {
   readonly bench: 'platform';
   readonly instances: number;
+  /** Calls per second that the instances attempt. */
   readonly wanted_s: number;
   readonly reads_s: number;
   readonly writes_s: number;
-  /** Calls in a second of an outage that lasts a minute. */
+  /** Calls per second during an outage of one minute. */
   readonly outage_calls_s: number;
 }
 
 export const PLATFORM_BENCH_SIZES: readonly number[] = [3, 30, 300, 680];
 
-const WANTED_PERIOD_MS = 250;
+const CALL_PERIOD_MS = 250;
 const WARM_UP_MS = 20_000;
 const MEASURED_MS = 20_000;
 const OUTAGE_MS = 60_000;
 const CALL_TIMEOUT_MS = 200;
 
-/** Runs every size and gives a line for each. */
+/** Measures every fleet size; returns a line for each. */
 export async function runPlatformBench(seed: number): Promise<readonly PlatformBenchLine[]> {
   const lines: PlatformBenchLine[] = [];
   for (const instances of PLATFORM_BENCH_SIZES) {
@@ -48,12 +49,12 @@
       countInstances: () => instances,
     });
     const port = client.forUse('manifest');
-    const callBoth = (): void => {
+    const readAndWrite = (): void => {
       void port.get('root', { timeout: CALL_TIMEOUT_MS });
       void port.swap(`own ${i}`, 0, 'x', { timeout: CALL_TIMEOUT_MS });
     };
-    timers.registerTimeout(random.nextInt(WANTED_PERIOD_MS), () => {
-      timers.registerInterval(WANTED_PERIOD_MS, callBoth);
+    timers.registerTimeout(random.nextInt(CALL_PERIOD_MS), () => {
+      timers.registerInterval(CALL_PERIOD_MS, readAndWrite);
     });
   }
   await timers.advanceToAsync(WARM_UP_MS);
@@ -68,7 +69,7 @@
   return {
     bench: 'platform',
     instances,
-    wanted_s: (instances * 2 * MILLIS_PER_SECOND) / WANTED_PERIOD_MS,
+    wanted_s: (instances * 2 * MILLIS_PER_SECOND) / CALL_PERIOD_MS,
     reads_s: perSecond(after.reads - before.reads, MEASURED_MS),
     writes_s: perSecond(after.writes - before.writes, MEASURED_MS),
     outage_calls_s: perSecond(last.reads + last.writes - after.reads - after.writes, OUTAGE_MS),
--- a/packages/bench/src/RecoveryBench.ts
+++ b/packages/bench/src/RecoveryBench.ts
@@ -1,7 +1,7 @@
 /**
- * The recovery bench: one fault at a time under steady load, in virtual time. Recovery is what callers
- * see: from the fault to the end of the last pause that it caused. The baseline waits for a fixed
- * timeout and starts the request anew.
+ * The recovery bench: injects one fault at a time under steady load, in virtual time. The recovery time is
+ * what callers observe: from the fault to the end of the last pause that it causes. The baseline restarts
+ * a request from the beginning after a fixed timeout.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -22,30 +22,38 @@
   readonly seed: number;
   /** Names of the faults to run; all by default. */
   readonly faults?: readonly string[];
-  /** Worlds per fault, each with a seed of its own. */
+  /** Simulation runs per fault, each with its own seed. */
   readonly rounds?: number;
   /** Load as a share of the hardware's bound. */
   readonly load?: number;
 }
 
-/** One line of the bench; the last line is the whole, with the worst of each field. */
+/**
+ * One line of the bench. The last line combines all faults: the sum of each count, and the worst value of
+ * each other field; it omits the optional fields.
+ */
 export interface RecoveryLine {
   readonly bench: 'recovery';
   readonly fault: string;
   readonly p50_ms: number;
   readonly p99_ms: number;
   readonly detect_p99_ms: number;
-  /** From the failure to the new attempt, and from there to its first token. */
+  /** From the failure to the new attempt. */
   readonly replace_p99_ms: number;
+  /** From the new attempt to its first token. */
   readonly first_token_p99_ms: number;
   readonly baseline_p99_ms: number;
-  /** Greatest loss of tokens a second in any half second after the fault, as a share. */
+  /** Largest drop of the token rate in any half second after the fault, as a share of the rate before. */
   readonly goodput_dip: number;
+  /** Requests that have a recovery time. */
   readonly struck: number;
   readonly lost: number;
   readonly doubled: number;
   readonly cut_off: number;
-  /** Where the platform is out: from submission to first token of requests without a key, before and while. */
+  /**
+   * For the platform outage only: from submission to first token of requests without an idempotency key,
+   * before and during the outage.
+   */
   readonly unkeyed_before_p99_ms?: number;
   readonly unkeyed_p50_ms?: number;
   readonly unkeyed_p99_ms?: number;
@@ -53,13 +61,16 @@
   readonly bystanders_refused?: number;
 }
 
-/** What the rounds of one fault came to. */
+/** Results of one round, or of all rounds of a fault. */
 interface FaultResult {
   readonly recoveries: readonly Millis[];
   readonly detections: readonly Millis[];
   readonly replacements: readonly Millis[];
   readonly firstTokens: readonly Millis[];
-  /** From submission to first token of requests without a key, sent before the fault and while it lasted. */
+  /**
+   * From submission to first token of requests without an idempotency key, submitted before the fault and
+   * during it.
+   */
   readonly unkeyedBefore: readonly Millis[];
   readonly unkeyed: readonly Millis[];
   readonly dip: number;
@@ -69,36 +80,40 @@
 type CreateInstance = (options: InstanceOptions) => RecoveryInstance;
 
 const FAULT_AT: Millis = 6000;
-const MEND_AFTER: Millis = 5000;
+const CLEAR_AFTER: Millis = 5000;
 const END_AFTER: Millis = 8000;
 const DIP_WINDOW: Millis = 5000;
-const BIN: Millis = 500;
-const BASE_BINS = 4;
+const BIN_WIDTH: Millis = 500;
+const PRE_FAULT_BINS = 4;
 const DEFAULT_LOAD = 0.5;
 const DEFAULT_ROUNDS = 1;
-const FAST_LINK = 1e12;
+const FAST_LINK_BYTES_PER_SECOND = 1e12;
 const SEED_STEP = 100;
-/** A gap counts as caused by the fault if it is this much longer than usual. */
-const ABNORMAL_FACTOR = 2.5;
-const ABNORMAL_LEAST: Millis = 120;
-/** A pause that begins later than this after the fault, or after the pause before it, is not its work. */
-const RELATED_WITHIN: Millis = 3000;
-/** A request that got nothing for so long at the end of the run has not recovered. */
-const STUCK: Millis = 2000;
+/** A gap between tokens counts as a pause if it exceeds the request's mean gap by this factor. */
+const PAUSE_FACTOR = 2.5;
+/** A shorter gap never counts as a pause. */
+const MIN_PAUSE: Millis = 120;
+/**
+ * A pause is attributed to the fault only if it begins within this time after the fault or after the
+ * previous such pause.
+ */
+const MAX_RELATED_DELAY: Millis = 3000;
+/** A running request that got no token for longer than this at the end of the run has not recovered. */
+const STALLED_AFTER: Millis = 2000;
 
-/** Runs the bench; one line a fault, the last one the whole. */
+/** Runs the bench; returns a line per fault and, for more than one fault, a summary as the last line. */
 export async function runRecoveryBench(options: RecoveryOptions): Promise<readonly RecoveryLine[]> {
   const shape = createBenchShapes()[0];
   if (!shape) {
     return [];
   }
   const names = [...Object.keys(RECOVERY_FAULTS), 'poison-request'];
-  const wanted = names.filter((name) => options.faults?.includes(name) ?? true);
+  const selected = names.filter((name) => options.faults?.includes(name) ?? true);
   const lines: RecoveryLine[] = [];
-  for (const name of wanted) {
+  for (const name of selected) {
     lines.push(await runFault(shape, name, options));
   }
-  return lines.length > 1 ? [...lines, createTotal(lines)] : lines;
+  return lines.length > 1 ? [...lines, createSummary(lines)] : lines;
 }
 
 async function runFault(
@@ -201,12 +216,12 @@
 ): Promise<FaultResult> {
   const replacements: Millis[] = [];
   const firstTokens: Millis[] = [];
-  let isFaulty = false;
+  let isAfterFault = false;
   function onMetric({ name, value }: RouterMetric): void {
-    if (isFaulty && name === 'replacementMs') {
+    if (isAfterFault && name === 'replacementMs') {
       replacements.push(value);
     }
-    if (isFaulty && name === 'recoveryFirstTokenMs') {
+    if (isAfterFault && name === 'recoveryFirstTokenMs') {
       firstTokens.push(value);
     }
   }
@@ -220,33 +235,37 @@
     ...(load && { firstDomainShare: load.firstDomainShare }),
   });
   await world.advanceTo(FAULT_AT);
-  isFaulty = true;
+  isAfterFault = true;
   world.traces.forEach(clearDetection);
   const injected = inject(world);
-  const struck = world.traces.filter(
-    // Keyed work is never run again: its callers get the truth and not the rest of the answer.
+  const affected = world.traces.filter(
+    // A keyed request is never run again: its caller gets an error with the run state, not the rest of
+    // the answer.
     (trace) => wasRunning(trace, FAULT_AT) && !trace.isKeyed && injected.affects(trace),
   );
-  await world.advanceTo(FAULT_AT + MEND_AFTER);
+  await world.advanceTo(FAULT_AT + CLEAR_AFTER);
   injected.clear();
   await world.advanceTo(FAULT_AT + END_AFTER);
-  const watched = struck.length > 0 ? struck : world.traces.filter(isKeyedAfterFault);
+  const measured = affected.length > 0 ? affected : world.traces.filter(isKeyedAfterFault);
   return {
-    recoveries: watched.map(measureRecovery).filter((time) => time !== null),
-    detections: struck
+    recoveries: measured.map(measureRecovery).filter((time) => time !== null),
+    detections: affected
       .map(({ detectedAt }) => (detectedAt === null ? null : detectedAt - FAULT_AT))
       .filter((time) => time !== null),
     replacements,
     firstTokens,
-    unkeyedBefore: listFirstTokens(world.traces, FAULT_AT - MEND_AFTER, FAULT_AT),
-    unkeyed: listFirstTokens(world.traces, FAULT_AT, FAULT_AT + MEND_AFTER),
+    unkeyedBefore: listFirstTokenTimes(world.traces, FAULT_AT - CLEAR_AFTER, FAULT_AT),
+    unkeyed: listFirstTokenTimes(world.traces, FAULT_AT, FAULT_AT + CLEAR_AFTER),
     dip: measureDip(world.traces),
     tallies: world.tallies,
   };
 }
 
-/** Times to the first token of requests without a key; one that has none by the end counts as waiting so long. */
-function listFirstTokens(traces: readonly RequestTrace[], from: Millis, to: Millis): Millis[] {
+/**
+ * Returns the times to first token of requests without an idempotency key. A request without a token
+ * counts as waiting until the end of the run.
+ */
+function listFirstTokenTimes(traces: readonly RequestTrace[], from: Millis, to: Millis): Millis[] {
   return traces
     .filter((trace) => !trace.isKeyed && trace.submittedAt >= from && trace.submittedAt < to)
     .map((trace) => (trace.tokenTimes[0] ?? FAULT_AT + END_AFTER) - trace.submittedAt);
@@ -260,36 +279,46 @@
   return trace.engines.length > 0 && (trace.endedAt === null || trace.endedAt >= at);
 }
 
-/** Where no running request is struck, those that need the platform and come during the outage are. */
+/**
+ * Whether a request has an idempotency key, and so needs the platform, and is submitted while the fault
+ * lasts. These requests are measured if the fault affects no running one.
+ */
 function isKeyedAfterFault(trace: RequestTrace): boolean {
   const since = trace.submittedAt - FAULT_AT;
-  return trace.isKeyed && since >= 0 && since < MEND_AFTER;
+  return trace.isKeyed && since >= 0 && since < CLEAR_AFTER;
 }
 
-/** From the fault to the end of the last pause before its mending, or null if the caller saw none. */
+/**
+ * Time from the fault, or from a later submission, to the end of the last pause that is attributed to the
+ * fault; null if there is no such pause. For a resent request it is the time from the fault to the first
+ * token of the resend.
+ */
 function measureRecovery(trace: RequestTrace): Millis | null {
   const start = Math.max(FAULT_AT, trace.submittedAt);
   if (trace.resentAs) {
-    const again = trace.resentAs.tokenTimes[0];
-    return again === undefined ? null : again - FAULT_AT;
+    const firstResentToken = trace.resentAs.tokenTimes[0];
+    return firstResentToken === undefined ? null : firstResentToken - FAULT_AT;
   }
   const before = trace.tokenTimes.filter((time) => time <= FAULT_AT);
-  const usual = computeMeanGap(before);
-  const limit = Math.max(ABNORMAL_LEAST, usual * ABNORMAL_FACTOR);
-  let last = before.at(-1) ?? start;
+  const meanGap = computeMeanGap(before);
+  const pauseThreshold = Math.max(MIN_PAUSE, meanGap * PAUSE_FACTOR);
+  let lastTokenAt = before.at(-1) ?? start;
   let recoveredAt: Millis | null = null;
-  let troubledUntil = start;
+  let lastDisruptionEnd = start;
   for (const time of trace.tokenTimes) {
     if (time > FAULT_AT) {
-      if (time - last > limit && last - troubledUntil < RELATED_WITHIN) {
+      if (
+        time - lastTokenAt > pauseThreshold &&
+        lastTokenAt - lastDisruptionEnd < MAX_RELATED_DELAY
+      ) {
         recoveredAt = time;
-        troubledUntil = time;
+        lastDisruptionEnd = time;
       }
-      last = time;
+      lastTokenAt = time;
     }
   }
   const end = FAULT_AT + END_AFTER;
-  if (trace.endedAt === null && end - last > STUCK) {
+  if (trace.endedAt === null && end - lastTokenAt > STALLED_AFTER) {
     return end - start;
   }
   return recoveredAt === null ? null : recoveredAt - start;
@@ -303,28 +332,28 @@
     : (last - first) / (times.length - 1);
 }
 
-/** The greatest loss in any bin after the fault against the mean of the bins just before it. */
+/** Returns the largest drop of tokens in any bin after the fault, as a share of the mean just before it. */
 function measureDip(traces: readonly RequestTrace[]): number {
   const bins = new Map<number, number>();
   for (const trace of traces) {
     for (const time of trace.tokenTimes) {
-      const bin = Math.floor((time - FAULT_AT) / BIN);
+      const bin = Math.floor((time - FAULT_AT) / BIN_WIDTH);
       bins.set(bin, (bins.get(bin) ?? 0) + 1);
     }
   }
   let before = 0;
-  for (let bin = -BASE_BINS; bin < 0; bin++) {
-    before += (bins.get(bin) ?? 0) / BASE_BINS;
+  for (let bin = -PRE_FAULT_BINS; bin < 0; bin++) {
+    before += (bins.get(bin) ?? 0) / PRE_FAULT_BINS;
   }
   let least = Infinity;
-  for (let bin = 0; bin < DIP_WINDOW / BIN; bin++) {
+  for (let bin = 0; bin < DIP_WINDOW / BIN_WIDTH; bin++) {
     least = Math.min(least, bins.get(bin) ?? 0);
   }
   return Math.max(0, 1 - least / before);
 }
 
 function getRequestRate(shape: BenchShape, options: RecoveryOptions): number {
-  const bound = computeBound(shape, () => FAST_LINK);
+  const bound = computeBound(shape, () => FAST_LINK_BYTES_PER_SECOND);
   return ((options.load ?? DEFAULT_LOAD) * bound) / getWorkloadMeans(shape.work).answerTokens;
 }
 
@@ -334,7 +363,7 @@
   return times.length === 0 ? 0 : histogram.getValueAtPercentile(percentile);
 }
 
-function createTotal(lines: readonly RecoveryLine[]): RecoveryLine {
+function createSummary(lines: readonly RecoveryLine[]): RecoveryLine {
   const worst = (read: (line: RecoveryLine) => number): number => Math.max(...lines.map(read));
   const sum = (read: (line: RecoveryLine) => number): number =>
     lines.reduce((total, line) => total + read(line), 0);
--- a/packages/bench/src/RecoveryFaults.ts
+++ b/packages/bench/src/RecoveryFaults.ts
@@ -1,25 +1,28 @@
-/** The faults of the recovery bench: what breaks, and which running requests it strikes. */
+/** The faults of the recovery bench: what fails, and which running requests are affected. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { EngineId } from '@skylarksail/core/CoreTypes';
 import type { RecoveryWorld, RequestTrace } from './RecoveryTypes.js';
 
-/** A fault that was brought about. */
+/** A fault that is in effect. */
 export interface InjectedFault {
-  /** Whether a request that runs at the time of the fault is struck by it. */
+  /** Whether the fault affects a request that is running when it is injected. */
   readonly affects: (trace: RequestTrace) => boolean;
-  /** Mends it; engines come back with nothing held of their work. */
+  /** Clears the fault; engines come back without the state of their earlier work. */
   readonly clear: () => void;
 }
 
-/** Load that a fault wants in place of the even one. */
+/** Load that replaces the even load for one fault. */
 export interface FaultLoad {
-  /** Times the usual number of requests. */
+  /** Multiple of the usual request rate. */
   readonly factor: number;
-  /** Share of the callers at the first domain. */
+  /** Share of the requests that are sent to the first domain. */
   readonly firstDomainShare: number;
 }
 
-/** With even load no domain borrows, and a cut strikes nobody: the first one gets more than it can do. */
+/**
+ * Under even load no domain borrows engines of another, and a partition affects no request. Here the first
+ * domain gets more load than it can serve.
+ */
 export const FAULT_LOADS: Readonly<Record<string, FaultLoad>> = {
   'domain-cut': { factor: 1.8, firstDomainShare: 0.9 },
 };
@@ -27,15 +30,15 @@
 export type InjectFault = (world: RecoveryWorld) => InjectedFault;
 
 const SLOW_FACTOR = 10;
-/** Near what the rack's traffic needs: far beyond, it would be a cut. */
+/** Leaves about the bandwidth that the rack's traffic needs; a far larger factor would act as a partition. */
 const LINK_FACTOR = 40;
 
-/** Faults by name. */
+/** Injects each fault, by the name that the bench prints. */
 export const RECOVERY_FAULTS: Readonly<Record<string, InjectFault>> = {
-  'stage-crash': (world) => breakEngines(world, [pickBusiest(world)], { kind: 'crashed' }),
-  'stage-hang': (world) => breakEngines(world, [pickBusiest(world)], { kind: 'hung' }),
+  'stage-crash': (world) => setEngineFaults(world, [pickBusiest(world)], { kind: 'crashed' }),
+  'stage-hang': (world) => setEngineFaults(world, [pickBusiest(world)], { kind: 'hung' }),
   'stage-slow': (world) =>
-    breakEngines(world, [pickBusiest(world)], { kind: 'slow', factor: SLOW_FACTOR }),
+    setEngineFaults(world, [pickBusiest(world)], { kind: 'slow', factor: SLOW_FACTOR }),
   'link-degraded': degradeLink,
   'instance-crash': (world) => {
     world.killInstance(0);
@@ -44,20 +47,20 @@
   'rack-crash': (world) => {
     const rack = getFacts(world, pickBusiest(world))?.rack;
     const engines = world.shape.engines.filter(({ facts }) => facts.rack === rack);
-    return breakEngines(
+    return setEngineFaults(
       world,
       engines.map(({ facts }) => facts.id),
       { kind: 'crashed' },
     );
   },
-  'domain-cut': cutDomain,
+  'domain-cut': partitionDomain,
   'platform-outage': (world) => {
     world.setPlatformUp(false);
     return { affects: () => false, clear: () => world.setPlatformUp(true) };
   },
 };
 
-function breakEngines(
+function setEngineFaults(
   { fleet }: RecoveryWorld,
   engines: readonly EngineId[],
   fault: Parameters<RecoveryWorld['fleet']['setFault']>[1],
@@ -69,7 +72,7 @@
   };
 }
 
-/** The engine that most requests run on now. */
+/** Returns the engine with the most running requests. */
 function pickBusiest({ fleet }: RecoveryWorld): EngineId {
   const loads = [...fleet.readLoads()].sort((a, b) => b.running - a.running);
   return loads[0]?.engine ?? '';
@@ -79,7 +82,7 @@
   return shape.engines.find(({ facts }) => facts.id === engine)?.facts;
 }
 
-/** Slows all that leaves the rack of a first stage for other racks of its domain. */
+/** Slows all traffic from the rack of a first-stage engine to other racks of its domain. */
 function degradeLink(world: RecoveryWorld): InjectedFault {
   const first = world.shape.engines.find(({ holding }) => holding.layers.first === 0);
   const rack = first?.facts.rack;
@@ -87,23 +90,26 @@
     from.rack === rack && to.rack !== rack && from.domain === to.domain;
   world.fleet.setLinkFault((from, to) => (isOnLink(from, to) ? { factor: LINK_FACTOR } : null));
   return {
-    affects: (trace) => hasHop(world, trace, isOnLink),
+    affects: (trace) => usesLink(world, trace, isOnLink),
     clear: () => world.fleet.setLinkFault(null),
   };
 }
 
-/** Cuts the first domain off from all others; struck is what its instances run elsewhere, and the reverse. */
-function cutDomain(world: RecoveryWorld): InjectedFault {
+/**
+ * Partitions the first domain from all others. This affects requests of its instances on engines of other
+ * domains, and the reverse.
+ */
+function partitionDomain(world: RecoveryWorld): InjectedFault {
   const [domain] = world.shape.domains;
-  const isCut = (from: EngineFacts, to: EngineFacts): boolean =>
+  const linkCrossesPartition = (from: EngineFacts, to: EngineFacts): boolean =>
     (from.domain === domain) !== (to.domain === domain);
-  const isAbroad = (trace: RequestTrace, engine: EngineId): boolean =>
+  const isEngineAcrossPartition = (trace: RequestTrace, engine: EngineId): boolean =>
     (world.instances[trace.instance]?.domain === domain) !==
     (getFacts(world, engine)?.domain === domain);
-  world.fleet.setLinkFault((from, to) => (isCut(from, to) ? { cut: true } : null));
+  world.fleet.setLinkFault((from, to) => (linkCrossesPartition(from, to) ? { cut: true } : null));
   world.setPartitionedDomain(domain ?? null);
   return {
-    affects: (trace) => trace.engines.some((engine) => isAbroad(trace, engine)),
+    affects: (trace) => trace.engines.some((engine) => isEngineAcrossPartition(trace, engine)),
     clear: () => {
       world.fleet.setLinkFault(null);
       world.setPartitionedDomain(null);
@@ -111,7 +117,7 @@
   };
 }
 
-function hasHop(
+function usesLink(
   world: RecoveryWorld,
   trace: RequestTrace,
   isOnLink: (from: EngineFacts, to: EngineFacts) => boolean,
--- a/packages/bench/src/RecoveryInstance.ts
+++ b/packages/bench/src/RecoveryInstance.ts
@@ -1,4 +1,4 @@
-/** Entry instances of the recovery bench: the product's router, and the baseline that starts anew. */
+/** Entry instances of the recovery bench: the product's router, and the baseline that restarts requests. */
 import type { Chain } from '@skylarksail/core/CoreChain';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -47,14 +47,14 @@
 const PLAN_PERIOD: Millis = 500;
 const REPORT_PERIOD: Millis = 500;
 const REPORT_LAG: Millis = 300;
-/** What the baseline waits for a token before it starts the request anew. */
+/** Time that the baseline waits for a token before it restarts the request. */
 const BASELINE_TIMEOUT: Millis = 5000;
 const BASELINE_RETRY: Millis = 100;
 
-/** Routing of one instance, fed by lagging reports. */
+/** Routing of one instance, based on delayed load reports. */
 interface InstanceRouting {
-  chooseChain(wish: ChainRequest): ChainChoice;
-  chooseRepair(wish: RepairRequest): ChainChoice;
+  chooseChain(request: ChainRequest): ChainChoice;
+  chooseRepair(request: RepairRequest): ChainChoice;
   getBootId(engine: EngineId): string | null;
   notePaces(paces: readonly StreamPace[]): void;
   isSlow(chain: Chain): boolean;
@@ -68,7 +68,7 @@
   let state = options.routing;
   let nextPlanAt = 0;
 
-  function createAsk({ spec, contextTokens, isBegun, avoid }: ChainRequest): ChainQuery {
+  function createQuery({ spec, contextTokens, isBegun, avoid }: ChainRequest): ChainQuery {
     return {
       variant: spec.variant,
       layerCount,
@@ -92,7 +92,7 @@
         state = recordFirstToken(state, call, timers.now());
       },
       release: (outcome) => {
-        state = recordCallEnd(state, call, describeEnd(outcome), hadFirstToken, timers.now());
+        state = recordCallEnd(state, call, createCallOutcome(outcome), hadFirstToken, timers.now());
       },
     };
   }
@@ -112,8 +112,8 @@
   report();
   const stop = timers.registerInterval(REPORT_PERIOD, report);
   return {
-    chooseChain(wish) {
-      const ask = createAsk(wish);
+    chooseChain(request) {
+      const ask = createQuery(request);
       const choice = selectChain(state, ask, random);
       if (!choice.ok) {
         const isFull = choice.error.kind === 'no-capacity';
@@ -128,16 +128,18 @@
         hold: hold({ chain, promptTokens, maxTokens }),
       };
     },
-    chooseRepair(wish) {
-      const ask = createAsk(wish);
-      const choice = selectRepair(state, wish.broken, new Set(wish.failed), ask, random);
+    chooseRepair(request) {
+      const ask = createQuery(request);
+      const choice = selectRepair(state, request.broken, new Set(request.failed), ask, random);
       if (!choice.ok) {
         const isFull = choice.error.kind === 'no-capacity';
         return { kind: 'none', isFull, retryAfter: choice.error.retryAfter };
       }
       const { chain } = choice.value;
       const { promptTokens, maxTokens } = ask;
-      const importFrom = wish.broken.stages.filter(({ engine }) => !wish.failed.includes(engine));
+      const importFrom = request.broken.stages.filter(
+        ({ engine }) => !request.failed.includes(engine),
+      );
       return { kind: 'chain', chain, importFrom, hold: hold({ chain, promptTokens, maxTokens }) };
     },
     getBootId: (engine) => state.loads.get(engine)?.load.bootId ?? null,
@@ -152,7 +154,7 @@
   };
 }
 
-function describeEnd(outcome: AttemptOutcome): Parameters<typeof recordCallEnd>[2] {
+function createCallOutcome(outcome: AttemptOutcome): Parameters<typeof recordCallEnd>[2] {
   switch (outcome.kind) {
     case 'answered':
       return {
@@ -171,7 +173,7 @@
   }
 }
 
-/** An instance that runs the product's router. */
+/** Creates an instance that runs the product's router. */
 export function createRouterInstance(options: InstanceOptions): RecoveryInstance {
   const { timers, domain } = options;
   const routing = createInstanceRouting(options);
@@ -180,8 +182,8 @@
     cfg: DEFAULT_ROUTER_CONFIG,
     timers,
     random: createRandom(options.seed + 1000),
-    chooseChain: (wish) => routing.chooseChain(wish),
-    chooseRepair: (wish) => routing.chooseRepair(wish),
+    chooseChain: (request) => routing.chooseChain(request),
+    chooseRepair: (request) => routing.chooseRepair(request),
     openEngineCall: (call, listener) => (isKilled ? () => undefined : options.open(call, listener)),
     chooseServer: () => null,
     openServiceCall: () => () => undefined,
@@ -216,8 +218,9 @@
 }
 
 /**
- * The baseline: the same choice of chains, but a failed or silent request is started anew, after a fixed
- * timeout. The caller is spared the tokens that it already has, so that its pause can be compared.
+ * Creates the baseline instance. It selects chains as the router does, but restarts a request from the
+ * beginning when it fails or gets no token within a fixed timeout. Tokens that the caller already has are
+ * not delivered again, so that its pauses are comparable.
  */
 export function createBaselineInstance(options: InstanceOptions): RecoveryInstance {
   const { timers, domain } = options;
@@ -227,18 +230,18 @@
 
   function submit(spec: RequestSpec, sink: RequestSink): { cancel: () => void } {
     let attempt = 0;
-    let seen = 0;
-    let isOver = false;
+    let deliveredTokens = 0;
+    let hasEnded = false;
     let endAttempt: () => void = () => undefined;
 
     function start(): void {
-      if (isOver || isKilled) {
+      if (hasEnded || isKilled) {
         return;
       }
       const choice = routing.chooseChain({
         spec,
         contextTokens: spec.promptTokens ?? 0,
-        isBegun: seen > 0,
+        isBegun: deliveredTokens > 0,
         avoid: [],
       });
       if (choice.kind === 'none') {
@@ -251,9 +254,9 @@
 
     function run(choice: Extract<ChainChoice, { kind: 'chain' }>, current: number): void {
       const openedAt = timers.now();
-      let undoTimeout = timers.registerTimeout(BASELINE_TIMEOUT, restart);
-      const { request, ...call } = describeCall(spec, choice, current, openedAt);
-      const isCurrent = (): boolean => !isOver && current === attempt;
+      let cancelTimeout = timers.registerTimeout(BASELINE_TIMEOUT, restart);
+      const { request, ...call } = createEngineCall(spec, choice, current, openedAt);
+      const isCurrent = (): boolean => !hasEnded && current === attempt;
       const cancelCall = options.open(
         { request, ...call },
         {
@@ -262,16 +265,16 @@
             if (!isCurrent()) {
               return;
             }
-            undoTimeout();
-            undoTimeout = timers.registerTimeout(BASELINE_TIMEOUT, restart);
-            if (index === seen) {
-              seen += 1;
+            cancelTimeout();
+            cancelTimeout = timers.registerTimeout(BASELINE_TIMEOUT, restart);
+            if (index === deliveredTokens) {
+              deliveredTokens += 1;
               sink.onToken(index, token);
             }
           },
           onEnd(reason) {
             if (isCurrent()) {
-              isOver = true;
+              hasEnded = true;
               endAttempt();
               sink.onEnd(reason);
             }
@@ -279,9 +282,9 @@
           onFailure: () => isCurrent() && restart(),
         },
       );
-      noteChain(spec, choice, current);
+      recordChain(spec, choice, current);
       endAttempt = () => {
-        undoTimeout();
+        cancelTimeout();
         cancelCall();
         choice.hold.release({ kind: 'cancelled' });
       };
@@ -293,8 +296,8 @@
     }
 
     function cancel(): void {
-      if (!isOver) {
-        isOver = true;
+      if (!hasEnded) {
+        hasEnded = true;
         endAttempt();
       }
     }
@@ -303,7 +306,7 @@
     return { cancel };
   }
 
-  function noteChain(
+  function recordChain(
     spec: RequestSpec,
     choice: Extract<ChainChoice, { kind: 'chain' }>,
     attempt: number,
@@ -334,7 +337,7 @@
   };
 }
 
-function describeCall(
+function createEngineCall(
   spec: RequestSpec,
   choice: Extract<ChainChoice, { kind: 'chain' }>,
   attempt: number,
--- a/packages/bench/src/RecoveryPoison.ts
+++ b/packages/bench/src/RecoveryPoison.ts
@@ -1,4 +1,7 @@
-/** One poison request, resent fifty times over all instances: engines lost and bystanders harmed. */
+/**
+ * The poison request case: one such request, resent fifty times across all instances. Counts the engines
+ * that crash and the other requests that are refused.
+ */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { createBaselineInstance, createRouterInstance } from './RecoveryInstance.js';
 import type { RecoveryTallies, RecoveryWorld, RequestTrace } from './RecoveryTypes.js';
@@ -14,15 +17,15 @@
   readonly tallies: RecoveryTallies;
 }
 
-const START: Millis = 5000;
+const POISON_START: Millis = 5000;
 const RESENDS = 50;
-const RESEND_EVERY: Millis = 200;
-const RESTART_AFTER: Millis = 3000;
-const END: Millis = 18_000;
-const WATCH: Millis = 20;
-const PAUSE: Millis = 120;
+const RESEND_PERIOD: Millis = 200;
+const RESTART_DELAY: Millis = 3000;
+const RUN_END: Millis = 18_000;
+const CHECK_PERIOD: Millis = 20;
+const MIN_PAUSE: Millis = 120;
 
-/** Runs the poison request against the router, and against the baseline. */
+/** Runs the poison request against the router and against the baseline. */
 export async function runPoisonBench(
   shape: BenchShape,
   seed: number,
@@ -47,38 +50,38 @@
     onMetric: () => undefined,
   });
   let enginesLost = 0;
-  const poisons: RequestTrace[] = [];
-  await world.advanceTo(START);
+  const poisonTraces: RequestTrace[] = [];
+  await world.advanceTo(POISON_START);
   restartCrashed(world, () => {
     enginesLost += 1;
   });
   for (let i = 0; i < RESENDS; i++) {
-    world.timers.registerTimeout(i * RESEND_EVERY, () =>
-      poisons.push(world.send(`${POISON_PREFIX}/100/20`, i % world.instances.length)),
+    world.timers.registerTimeout(i * RESEND_PERIOD, () =>
+      poisonTraces.push(world.send(`${POISON_PREFIX}/100/20`, i % world.instances.length)),
     );
   }
-  await world.advanceTo(END);
-  const bystanders = world.traces.filter((trace) => !poisons.includes(trace));
+  await world.advanceTo(RUN_END);
+  const bystanders = world.traces.filter((trace) => !poisonTraces.includes(trace));
   return {
     enginesLost,
     bystandersRefused: bystanders.filter(({ problem }) => problem?.startsWith('poison')).length,
     recoveries: bystanders.flatMap(listPauses),
     detections: bystanders
-      .filter(({ detectedAt }) => detectedAt !== null && detectedAt >= START)
-      .map((trace) => getDetection(trace)),
+      .filter(({ detectedAt }) => detectedAt !== null && detectedAt >= POISON_START)
+      .map((trace) => computeDetectionTime(trace)),
     tallies: world.tallies,
   };
 }
 
-/** Brings crashed engines back after a while, and counts them. */
+/** Restarts each crashed engine after a delay, and calls `onLost` for each crash. */
 function restartCrashed({ timers, fleet, shape }: RecoveryWorld, onLost: () => void): void {
   const down = new Set<string>();
-  timers.registerInterval(WATCH, () => {
+  timers.registerInterval(CHECK_PERIOD, () => {
     for (const { facts } of shape.engines) {
       if (!down.has(facts.id) && fleet.readLoad(facts.id) === null) {
         down.add(facts.id);
         onLost();
-        timers.registerTimeout(RESTART_AFTER, () => {
+        timers.registerTimeout(RESTART_DELAY, () => {
           fleet.setFault(facts.id, { kind: 'none' });
           down.delete(facts.id);
         });
@@ -89,13 +92,13 @@
 
 function listPauses(trace: RequestTrace): Millis[] {
   return trace.tokenTimes
-    .map((time, i) => (i > 0 && time > START ? time - (trace.tokenTimes[i - 1] ?? time) : 0))
-    .filter((gap) => gap > PAUSE);
+    .map((time, i) => (i > 0 && time > POISON_START ? time - (trace.tokenTimes[i - 1] ?? time) : 0))
+    .filter((gap) => gap > MIN_PAUSE);
 }
 
-/** From the last token before the trouble was noticed to that moment. */
-function getDetection(trace: RequestTrace): Millis {
-  const noticed = trace.detectedAt ?? 0;
-  const last = trace.tokenTimes.filter((time) => time <= noticed).at(-1);
-  return last === undefined ? 0 : noticed - last;
+/** Time from the last token before a failure was detected to its detection. */
+function computeDetectionTime(trace: RequestTrace): Millis {
+  const detectedAt = trace.detectedAt ?? 0;
+  const last = trace.tokenTimes.filter((time) => time <= detectedAt).at(-1);
+  return last === undefined ? 0 : detectedAt - last;
 }
--- a/packages/bench/src/RecoveryTypes.ts
+++ b/packages/bench/src/RecoveryTypes.ts
@@ -1,4 +1,4 @@
-/** What the recovery bench's parts tell each other. */
+/** Types that the parts of the recovery bench share. */
 import type { VirtualTimers } from '@skylarksail/core/CoreTimers';
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { PoisonDigest } from '@skylarksail/requests/RequestPoison';
@@ -12,30 +12,33 @@
   submit(spec: RequestSpec, sink: RequestSink): RequestHandle;
   getPoisonDigest(): PoisonDigest;
   mergePoison(digest: PoisonDigest): void;
-  /** Membership has found that a domain can or cannot be reached. */
+  /** Reports that membership found a domain reachable or unreachable. */
   setDomainReach(domain: string, reachable: boolean): void;
-  /** Ends the process: its connections break, and nothing of it goes on. */
+  /** Simulates a crash of the process: its connections break and all of its work stops. */
   kill(): void;
 }
 
-/** What happened to one request, as its caller and its instance saw it. */
+/** Record of one request, as its caller and its instance observe it. */
 export interface RequestTrace {
   readonly id: string;
   readonly instance: number;
+  /** Whether it has an idempotency key. */
   readonly isKeyed: boolean;
   readonly submittedAt: Millis;
-  /** Times at which tokens came. */
+  /** Arrival time of each token. */
   readonly tokenTimes: Millis[];
+  /** Engines of its latest chain, by stage. */
   engines: readonly EngineId[];
-  /** First sign after the fault that the trouble was noticed. */
+  /** Time of the first failed attempt or repair after the fault. */
   detectedAt: Millis | null;
   endedAt: Millis | null;
+  /** Kind and run state of the error that ended it. */
   problem: string | null;
-  /** The request that the caller sent in its place after its instance had died. */
+  /** The request that the caller sent in its place after its instance crashed. */
   resentAs: RequestTrace | null;
 }
 
-/** The running fleet with its instances and callers. */
+/** The simulated fleet with its instances and callers. */
 export interface RecoveryWorld {
   readonly shape: BenchShape;
   readonly timers: VirtualTimers;
@@ -43,20 +46,22 @@
   readonly instances: readonly RecoveryInstance[];
   readonly traces: readonly RequestTrace[];
   readonly tallies: RecoveryTallies;
-  /** Moves time on, letting promises settle every few milliseconds. */
+  /** Advances virtual time, letting promises settle every few milliseconds. */
   advanceTo(time: Millis): Promise<void>;
-  /** Whether the platform's service answers. */
+  /** Sets whether the platform's service responds. */
   setPlatformUp(isUp: boolean): void;
   killInstance(index: number): void;
-  /** Cuts a domain off from all others, engines and instances; null heals the cut. */
+  /** Partitions a domain's engines and instances from all others; null heals the partition. */
   setPartitionedDomain(domain: string | null): void;
-  /** Sends one request to an instance; resolves nothing, its trace tells. */
+  /** Sends one request to an instance; the returned trace is updated while the request runs. */
   send(prompt: string, instance: number): RequestTrace;
 }
 
-/** What must be zero. */
+/** Counts of violations; all must be zero. */
 export interface RecoveryTallies {
   readonly lost: number;
+  /** Keyed requests that ran more than once. */
   readonly doubled: number;
+  /** Unexpected tokens, answers of the wrong length and requests that end twice. */
   readonly cutOff: number;
 }
--- a/packages/bench/src/RecoveryWorld.ts
+++ b/packages/bench/src/RecoveryWorld.ts
@@ -1,4 +1,4 @@
-/** A fleet under steady load for the recovery bench, with callers that check every token they get. */
+/** A simulated fleet under steady load for the recovery bench; its callers check every token. */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { createRandom } from '@skylarksail/core/CoreRandom';
@@ -19,44 +19,44 @@
 export interface WorldOptions {
   readonly seed: number;
   readonly shape: BenchShape;
-  /** Requests a second over all instances. */
+  /** Requests per second over all instances. */
   readonly requestsPerSecond: number;
   readonly createInstance: (options: InstanceOptions) => RecoveryInstance;
   readonly onMetric: (metric: RouterMetric) => void;
-  /** Share of the callers at the first domain's instances; all instances alike by default. */
+  /** Share of the requests sent to the first domain's instances; by default all instances get the same. */
   readonly firstDomainShare?: number;
 }
 
 const ENTRY_DELAY = 0.3;
 const KV_BYTES_PER_LAYER = 4096;
 const DEADLINE: Millis = 60_000;
-/** One request in this many carries a key and must not run twice. */
+/** One request in this many has an idempotency key and must not run twice. */
 const KEYED_EVERY = 10;
-const CLAIM_TIME: Millis = 5;
-const STEP: Millis = 5;
-const PROMPT_SPREAD = 0.5;
-/** Time in which a balancer gives a caller's resend to another instance. */
+const CLAIM_LATENCY: Millis = 5;
+const TIME_STEP: Millis = 5;
+const LENGTH_SPREAD = 0.5;
+/** Time in which a load balancer routes a caller's resend to another instance. */
 const RESEND_DELAY: Millis = 50;
 const GOSSIP_PERIOD: Millis = 200;
-/** Time in which membership finds that a domain is cut off, or is back. */
-const REACH_DELAY: Millis = 2000;
+/** Time in which membership detects that a domain is partitioned or reachable again. */
+const REACH_DETECTION_DELAY: Millis = 2000;
 const CANCEL_RETRY: Millis = 100;
-/** Prompts that start so crash the engine that first computes them. */
+/** A prompt with this prefix crashes the engine that first computes it. */
 export const POISON_PREFIX = 'poison';
 
-/** Creates the world; time moves as its timers are advanced. */
+/** Creates the simulation; its time passes only when its timers are advanced. */
 export function createRecoveryWorld(options: WorldOptions): RecoveryWorld {
   const { shape, seed } = options;
   const timers = createVirtualTimers();
   const random = createRandom(seed);
   const traces: RequestTrace[] = [];
-  const byId = new Map<string, RequestTrace>();
+  const tracesById = new Map<string, RequestTrace>();
   let isPlatformUp = true;
   let wrongAnswers = 0;
-  let count = 0;
-  const dead = new Set<number>();
+  let requestCount = 0;
+  const killedInstances = new Set<number>();
   const domainOf = new Map(shape.engines.map(({ facts }) => [facts.id, facts.domain]));
-  let cutDomain: string | null = null;
+  let isolatedDomain: string | null = null;
 
   const fleet = createVirtualFleet({
     timers,
@@ -83,48 +83,51 @@
           } else if (timers.now() >= until) {
             resolve({ kind: 'unavailable', retryAfter: MILLIS_PER_SECOND });
           } else {
-            timers.registerTimeout(CLAIM_TIME, tryClaim);
+            timers.registerTimeout(CLAIM_LATENCY, tryClaim);
           }
         }
-        timers.registerTimeout(CLAIM_TIME, tryClaim);
+        timers.registerTimeout(CLAIM_LATENCY, tryClaim);
       }),
     settle: () => undefined,
     release: () => undefined,
   };
 
   function onDecision(record: DecisionRecord): void {
-    const trace = byId.get(record.request);
+    const trace = tracesById.get(record.request);
     if (!trace) {
       return;
     }
     if (record.decision === 'chain' || record.decision === 'repair') {
       trace.engines = (record.chain ?? '').split(/ > |,/).map((stage) => stage.split('[')[0] ?? '');
     }
-    const isSign = record.decision === 'attempt-failed' || record.decision === 'repair';
-    if (isSign && trace.detectedAt === null) {
+    const isDetection = record.decision === 'attempt-failed' || record.decision === 'repair';
+    if (isDetection && trace.detectedAt === null) {
       trace.detectedAt = timers.now();
     }
   }
 
-  function isReached(domain: string, engine: string): boolean {
+  function isReachable(domain: string, engine: string): boolean {
     const other = domainOf.get(engine);
-    return cutDomain === null || (domain === cutDomain) === (other === cutDomain);
+    return isolatedDomain === null || (domain === isolatedDomain) === (other === isolatedDomain);
   }
 
-  /** Calls of an instance: nothing passes a cut, and nobody is told; a cancellation waits for its end. */
-  function createOpen(domain: string): OpenEngineCall {
+  /**
+   * Opens the engine calls of a domain's instances. A partition silently drops everything that crosses it;
+   * a cancellation is retried until the partition heals.
+   */
+  function createOpenCall(domain: string): OpenEngineCall {
     return (call, listener) => {
       const [first] = call.chain.stages;
-      const canPass = (): boolean => !first || isReached(domain, first.engine);
+      const canPass = (): boolean => !first || isReachable(domain, first.engine);
       if (!canPass()) {
         return () => undefined;
       }
-      const pass = (tell: () => void): void => (canPass() ? tell() : undefined);
+      const deliver = (notify: () => void): void => (canPass() ? notify() : undefined);
       const cancel = fleet.open(call, {
-        onAcknowledged: (ack) => pass(() => listener.onAcknowledged(ack)),
-        onToken: (index, token) => pass(() => listener.onToken(index, token)),
-        onEnd: (reason, tokenCount) => pass(() => listener.onEnd(reason, tokenCount)),
-        onFailure: (failure) => pass(() => listener.onFailure(failure)),
+        onAcknowledged: (ack) => deliver(() => listener.onAcknowledged(ack)),
+        onToken: (index, token) => deliver(() => listener.onToken(index, token)),
+        onEnd: (reason, tokenCount) => deliver(() => listener.onEnd(reason, tokenCount)),
+        onFailure: (failure) => deliver(() => listener.onFailure(failure)),
       });
       function tryCancel(): void {
         if (canPass()) {
@@ -145,9 +148,9 @@
         domain,
         layerCount: shape.layerCount,
         fleet: {
-          readLoads: () => fleet.readLoads().filter(({ engine }) => isReached(domain, engine)),
+          readLoads: () => fleet.readLoads().filter(({ engine }) => isReachable(domain, engine)),
         },
-        open: createOpen(domain),
+        open: createOpenCall(domain),
         claims,
         routing: createInitialRouting(shape, domain),
         onDecision,
@@ -163,8 +166,8 @@
     instance: number,
     isKeyed: boolean,
   ): RequestTrace {
-    count += 1;
-    const id = `r${count}`;
+    requestCount += 1;
+    const id = `r${requestCount}`;
     const [, prefix, own] = prompt.split('/');
     const trace: RequestTrace = {
       id,
@@ -179,10 +182,10 @@
       resentAs: null,
     };
     traces.push(trace);
-    byId.set(id, trace);
+    tracesById.set(id, trace);
     const spec: RequestSpec = {
       id,
-      team: prompt.startsWith(POISON_PREFIX) ? POISON_PREFIX : `team${count % 10}`,
+      team: prompt.startsWith(POISON_PREFIX) ? POISON_PREFIX : `team${requestCount % 10}`,
       model: BENCH_VARIANT.model,
       variant: BENCH_VARIANT,
       layerCount: shape.layerCount,
@@ -199,8 +202,8 @@
     instances[instance]?.submit(isPoison ? { ...spec, prompt } : spec, {
       onStart: () => undefined,
       onToken(index, token) {
-        const isRight = index === trace.tokenTimes.length && token === `${id}:${index} `;
-        wrongAnswers += isRight ? 0 : 1;
+        const isExpected = index === trace.tokenTimes.length && token === `${id}:${index} `;
+        wrongAnswers += isExpected ? 0 : 1;
         trace.tokenTimes.push(timers.now());
       },
       onEnd() {
@@ -211,7 +214,7 @@
         wrongAnswers += trace.endedAt === null ? 0 : 1;
         trace.endedAt = timers.now();
         trace.problem = `${problem.kind} ${problem.run}`;
-        if (dead.has(instance) && !isKeyed) {
+        if (killedInstances.has(instance) && !isKeyed) {
           timers.registerTimeout(RESEND_DELAY, () => resend(trace, prompt, maxTokens, priority));
         }
       },
@@ -219,7 +222,7 @@
     return trace;
   }
 
-  /** The caller's connection broke: it sends the whole request to another instance. */
+  /** Sends the whole request to another instance, as a caller does whose connection broke. */
   function resend(
     trace: RequestTrace,
     prompt: string,
@@ -233,7 +236,7 @@
   }
 
   function pickInstance(): number {
-    const all = instances.map((_, i) => i).filter((i) => !dead.has(i));
+    const all = instances.map((_, i) => i).filter((i) => !killedInstances.has(i));
     const { firstDomainShare } = options;
     const isFirst = firstDomainShare !== undefined && random.nextFloat() < firstDomainShare;
     const live =
@@ -247,7 +250,7 @@
     const work = pickWork(shape.work, random);
     const own = drawLength(work.ownTokens, random);
     const prompt = `${work.name}-${random.nextInt(work.templates)}/${work.prefixTokens}/${own}`;
-    const isKeyed = count % KEYED_EVERY === 0;
+    const isKeyed = requestCount % KEYED_EVERY === 0;
     submit(prompt, drawLength(work.answerTokens, random), work.priority, pickInstance(), isKeyed);
     const gap = MILLIS_PER_SECOND / options.requestsPerSecond;
     timers.registerTimeout(-Math.log(1 - random.nextFloat()) * gap, sendNext);
@@ -275,7 +278,7 @@
     },
     async advanceTo(time) {
       while (timers.now() < time) {
-        timers.advanceTo(Math.min(time, timers.now() + STEP));
+        timers.advanceTo(Math.min(time, timers.now() + TIME_STEP));
         await new Promise(setImmediate);
       }
     },
@@ -283,27 +286,31 @@
       isPlatformUp = isUp;
     },
     setPartitionedDomain(domain) {
-      const before = cutDomain;
-      cutDomain = domain;
-      timers.registerTimeout(REACH_DELAY, () => {
-        const far = domain ?? before;
+      const before = isolatedDomain;
+      isolatedDomain = domain;
+      timers.registerTimeout(REACH_DETECTION_DELAY, () => {
+        const changedDomain = domain ?? before;
         for (const instance of instances) {
           shape.domains
             .filter((other) => other !== instance.domain)
-            .filter((other) => (instance.domain === far) !== (other === far))
+            .filter((other) => (instance.domain === changedDomain) !== (other === changedDomain))
             .forEach((other) => instance.setDomainReach(other, domain === null));
         }
       });
     },
     killInstance(index) {
-      dead.add(index);
+      killedInstances.add(index);
       instances[index]?.kill();
     },
     send: (prompt, instance) => submit(prompt, 32, 'normal', instance, false),
   };
 }
 
-/** An idempotent request that ran and got no answer, or any request that hears nothing at all. */
+/**
+ * Whether a request is lost: it has neither an answer nor an error by its deadline, its error wrongly says
+ * that it did not run, or it is idempotent and failed although it may have run (unless it was refused as
+ * a poison request).
+ */
 function isLost(trace: RequestTrace, started: ReadonlyMap<string, number>, now: Millis): boolean {
   if (trace.endedAt === null) {
     return now > trace.submittedAt + DEADLINE;
@@ -311,9 +318,9 @@
   if (trace.problem === null) {
     return false;
   }
-  const saysNotRun = trace.problem.endsWith('not-run');
-  const isFalse = saysNotRun && (started.get(trace.id) ?? 0) > 0;
-  return isFalse || (!trace.isKeyed && !saysNotRun && !trace.problem.startsWith('poison'));
+  const reportsNotRun = trace.problem.endsWith('not-run');
+  const isWrongReport = reportsNotRun && (started.get(trace.id) ?? 0) > 0;
+  return isWrongReport || (!trace.isKeyed && !reportsNotRun && !trace.problem.startsWith('poison'));
 }
 
 function pickWork(work: readonly BenchRequestKind[], random: Random): BenchRequestKind {
@@ -328,7 +335,7 @@
 function drawLength(mean: number, random: Random): number {
   return Math.max(
     1,
-    Math.round(mean * (1 - PROMPT_SPREAD + 2 * PROMPT_SPREAD * random.nextFloat())),
+    Math.round(mean * (1 - LENGTH_SPREAD + 2 * LENGTH_SPREAD * random.nextFloat())),
   );
 }
 
--- a/packages/bench/src/SoakCallers.ts
+++ b/packages/bench/src/SoakCallers.ts
@@ -1,4 +1,4 @@
-/** Callers of a soak: each keeps one connection open, and uses it until the process behind it is gone. */
+/** Callers of a soak: each keeps one connection to a daemon and reuses it until that process exits. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { Client } from 'undici';
@@ -20,19 +20,19 @@
 }
 
 interface Connection {
-  readonly life: string;
+  readonly processId: string;
   readonly origin: string;
   readonly client: Client;
 }
 
 const KEEP_ALIVE: Millis = 60_000;
-const MOST_TOKENS = 60;
-const LEAST_TOKENS = 5;
+const MAX_TOKENS = 60;
+const MIN_TOKENS = 5;
 const RECEIPT_SHARE = 0.4;
-/** Times that a caller sends a receipt whose fate it doesn't know. */
-const MOST_TRIES = 4;
-const PAUSE: Millis = 100;
-const TRY_PAUSE: Millis = 250;
+/** Maximum sends of one receipt; a caller resends it while it does not know whether it was carried out. */
+const MAX_SENDS = 4;
+const MAX_REQUEST_GAP: Millis = 100;
+const RESEND_DELAY: Millis = 250;
 
 const OUTCOMES: Readonly<Record<CallerRecord['outcome'], SoakOutcomeName>> = {
   answered: SoakOutcome.Answered,
@@ -43,64 +43,67 @@
   wrong: SoakOutcome.Wrong,
 };
 
-/** Sends until the soak is over; resolves when the last request has ended. */
+/** Sends requests one at a time until the soak is over; resolves after the last one has ended. */
 export async function runSoakCaller(options: SoakCallerOptions): Promise<void> {
   const { name, random, listLive, now, sleep, isOver, onRecord } = options;
   const team = STACK_TEAMS[random.nextInt(STACK_TEAMS.length)] ?? STACK_TEAMS[0];
-  let open = null as Connection | null;
+  let currentConnection = null as Connection | null;
   let count = 0;
 
   async function connect(): Promise<Connection | null> {
-    if (open && listLive().some(({ processId: life }) => life === open?.life)) {
-      return open;
+    if (
+      currentConnection &&
+      listLive().some(({ processId }) => processId === currentConnection?.processId)
+    ) {
+      return currentConnection;
     }
-    await open?.client.destroy();
+    await currentConnection?.client.destroy();
     const live = listLive();
     const chosen = live[random.nextInt(Math.max(1, live.length))];
-    open = chosen
+    currentConnection = chosen
       ? {
-          life: chosen.processId,
+          processId: chosen.processId,
           origin: chosen.daemon.callers,
           client: new Client(chosen.daemon.callers, { keepAliveTimeout: KEEP_ALIVE }),
         }
       : null;
-    return open;
+    return currentConnection;
   }
 
-  /** Sends once; null if the daemon took no connection. */
+  /** Sends one request; returns null if there is no live daemon or it refuses the connection. */
   async function send(
     key: string | null,
-    act: (origin: string, client: Client) => Promise<CallerRecord>,
+    sendRequest: (origin: string, client: Client) => Promise<CallerRecord>,
   ): Promise<SoakRecord | null> {
     const connection = await connect();
     if (!connection) {
       return null;
     }
     const startedAt = now();
-    const heard = await act(connection.origin, connection.client);
-    if (heard.detail.includes('ECONNREFUSED')) {
+    const result = await sendRequest(connection.origin, connection.client);
+    if (result.detail.includes('ECONNREFUSED')) {
       await connection.client.destroy();
-      open = null;
+      currentConnection = null;
       return null;
     }
-    const isSilent = heard.outcome === 'cut off' && heard.requestId === '';
+    const hasNoResponse = result.outcome === 'cut off' && result.requestId === '';
     const record: SoakRecord = {
-      processId: connection.life,
-      outcome: isSilent ? SoakOutcome.Unanswered : OUTCOMES[heard.outcome],
+      processId: connection.processId,
+      outcome: hasNoResponse ? SoakOutcome.Unanswered : OUTCOMES[result.outcome],
       startedAt,
       endedAt: now(),
-      tokens: heard.tokens,
-      requestId: heard.requestId,
-      run: heard.run,
+      tokens: result.tokens,
+      requestId: result.requestId,
+      run: result.run,
       key,
-      detail: heard.detail,
+      detail: result.detail,
     };
     onRecord(record);
     return record;
   }
 
   async function sendStream(): Promise<void> {
-    const tokens = LEAST_TOKENS + random.nextInt(MOST_TOKENS - LEAST_TOKENS);
+    const tokens = MIN_TOKENS + random.nextInt(MAX_TOKENS - MIN_TOKENS);
     await send(null, (callers, dispatcher) =>
       streamCompletion({
         what: name,
@@ -108,14 +111,14 @@
         dispatcher,
         key: team.key,
         content: `${name} number ${count}, tokens=${tokens}`,
-        maxTokens: 2 * MOST_TOKENS,
+        maxTokens: 2 * MAX_TOKENS,
       }),
     );
   }
 
   async function sendReceipt(): Promise<void> {
     const key = `${name}-${count}`;
-    for (let tries = 0; tries < MOST_TRIES; tries += 1) {
+    for (let sends = 0; sends < MAX_SENDS; sends += 1) {
       const record = await send(key, (callers, dispatcher) =>
         callService({
           what: key,
@@ -130,14 +133,14 @@
       if (record?.outcome === SoakOutcome.Answered) {
         return;
       }
-      await sleep(TRY_PAUSE);
+      await sleep(RESEND_DELAY);
     }
   }
 
   while (!isOver()) {
     count += 1;
     await (random.nextFloat() < RECEIPT_SHARE ? sendReceipt() : sendStream());
-    await sleep(random.nextFloat() * PAUSE);
+    await sleep(random.nextFloat() * MAX_REQUEST_GAP);
   }
-  await open?.client.destroy();
+  await currentConnection?.client.destroy();
 }
--- a/packages/bench/src/SoakDaemons.ts
+++ b/packages/bench/src/SoakDaemons.ts
@@ -1,77 +1,83 @@
-/** The daemons of a soak: starts, signals and ends them, and keeps what became of each life. */
+/** The daemons of a soak: starts, signals and stops them, and records how each process ended. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { SoakProcess, SoakRevisions } from './SoakChecker.js';
 import type { Stack, StackDaemon } from './StackLauncher.js';
 
-type Told = SoakRevisions['told'][number];
+type ReportedRevision = SoakRevisions['told'][number];
 
-/** A daemon that was not seen to end. */
+/** A running daemon process. */
 export interface SoakDaemon {
   readonly processId: string;
   readonly daemon: StackDaemon;
 }
 
 export interface SoakDaemons {
-  /** Those that callers may turn to; one that stops is among them until its process is gone. */
+  /** Returns the daemons whose process has not exited, including those that are shutting down. */
   listLive(): readonly SoakDaemon[];
+  /** Suspends a daemon with SIGSTOP and resumes it after `time`. */
   pause(target: number, time: Millis): Promise<void>;
-  /** Ends it by a signal, and starts it anew after a while. */
+  /** Ends a daemon with a signal and starts it again after `time`, unless it is the only live one. */
   restart(target: number, signal: 'SIGTERM' | 'SIGKILL', time: Millis): Promise<void>;
-  /** Asks all for their revision. */
-  readRevisions(): Promise<readonly Told[]>;
-  /** Stops all that live. */
+  /** Reads the manifest revision of every live daemon; those that do not answer are left out. */
+  readRevisions(): Promise<readonly ReportedRevision[]>;
+  /** Sends SIGTERM to all live daemons and waits for them to exit. */
   stopAll(): Promise<void>;
+  /** Returns all processes started so far, also those that have exited. */
   listProcesses(): readonly SoakProcess[];
 }
 
-type OpenLife = { -readonly [K in keyof SoakProcess]: SoakProcess[K] };
+type MutableProcess = { -readonly [K in keyof SoakProcess]: SoakProcess[K] };
 
+/** Tracks the stack's daemons; `now` gives times since the start of the callers. */
 export function createSoakDaemons(
   stack: Stack,
   now: () => Millis,
   sleep: (time: Millis) => Promise<void>,
 ): SoakDaemons {
-  const lives: OpenLife[] = [];
+  const processes: MutableProcess[] = [];
   const live = new Map<string, SoakDaemon>();
 
-  function watch(daemon: StackDaemon): void {
-    const id = `${daemon.id}#${lives.filter((one) => one.id.startsWith(`${daemon.id}#`)).length}`;
-    const life: OpenLife = { id, stopAt: null, killAt: null, endedAt: null, end: null };
-    lives.push(life);
+  function trackProcess(daemon: StackDaemon): void {
+    const id = `${daemon.id}#${processes.filter((one) => one.id.startsWith(`${daemon.id}#`)).length}`;
+    const tracked: MutableProcess = { id, stopAt: null, killAt: null, endedAt: null, end: null };
+    processes.push(tracked);
     live.set(id, { processId: id, daemon });
     daemon.process.child.once('exit', (code, signal) => {
-      life.endedAt = now();
-      life.end = signal ?? String(code);
+      tracked.endedAt = now();
+      tracked.end = signal ?? String(code);
       live.delete(id);
     });
   }
 
-  function choose(target: number): SoakDaemon | undefined {
-    const running = [...live.values()].filter(({ processId: life }) => {
-      const known = lives.find(({ id }) => id === life);
+  function chooseRunning(target: number): SoakDaemon | undefined {
+    const running = [...live.values()].filter(({ processId }) => {
+      const known = processes.find(({ id }) => id === processId);
       return known?.stopAt === null && known.killAt === null;
     });
     return running[target % Math.max(1, running.length)];
   }
 
-  function note(life: string, signal: 'SIGTERM' | 'SIGKILL'): void {
-    const known = lives.find(({ id }) => id === life);
+  function recordSignal(processId: string, signal: 'SIGTERM' | 'SIGKILL'): void {
+    const known = processes.find(({ id }) => id === processId);
     if (known) {
       known[signal === 'SIGTERM' ? 'stopAt' : 'killAt'] = now();
     }
   }
 
-  async function end({ processId: life, daemon }: SoakDaemon, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
-    note(life, signal);
+  async function endProcess(
+    { processId, daemon }: SoakDaemon,
+    signal: 'SIGTERM' | 'SIGKILL',
+  ): Promise<void> {
+    recordSignal(processId, signal);
     await (signal === 'SIGTERM' ? daemon.process.stop() : daemon.process.kill());
   }
 
-  stack.daemons.forEach(watch);
+  stack.daemons.forEach(trackProcess);
 
   return {
     listLive: () => [...live.values()],
     async pause(target, time) {
-      const chosen = choose(target);
+      const chosen = chooseRunning(target);
       if (chosen) {
         const { child } = chosen.daemon.process;
         child.kill('SIGSTOP');
@@ -80,31 +86,33 @@
       }
     },
     async restart(target, signal, time) {
-      const chosen = choose(target);
-      // One that serves is left, so that callers always have somebody to turn to.
+      const chosen = chooseRunning(target);
+      // The only live daemon is not ended, so that callers can still connect.
       if (chosen && live.size > 1) {
-        await end(chosen, signal);
+        await endProcess(chosen, signal);
         await sleep(time);
-        watch(await stack.startDaemon(chosen.daemon.id, chosen.daemon.domain));
+        trackProcess(await stack.startDaemon(chosen.daemon.id, chosen.daemon.domain));
       }
     },
     async readRevisions() {
       const told = await Promise.all(
-        [...live.values()].map(async ({ processId: life, daemon }): Promise<readonly Told[]> => {
-          try {
-            const status = (await daemon.readStatus()) as { manifest?: { revision?: number } };
-            const revision = status.manifest?.revision;
-            return revision === undefined ? [] : [{ processId: life, revision }];
-          } catch {
-            return [];
-          }
-        }),
+        [...live.values()].map(
+          async ({ processId, daemon }): Promise<readonly ReportedRevision[]> => {
+            try {
+              const status = (await daemon.readStatus()) as { manifest?: { revision?: number } };
+              const revision = status.manifest?.revision;
+              return revision === undefined ? [] : [{ processId, revision }];
+            } catch {
+              return [];
+            }
+          },
+        ),
       );
       return told.flat();
     },
     async stopAll() {
-      await Promise.all([...live.values()].map((one) => end(one, 'SIGTERM')));
+      await Promise.all([...live.values()].map((one) => endProcess(one, 'SIGTERM')));
     },
-    listProcesses: () => lives,
+    listProcesses: () => processes,
   };
 }
--- a/packages/bench/src/SoakMain.ts
+++ b/packages/bench/src/SoakMain.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: plays seeds one after the other; one JSON line each, and how many were broken. */
+/** `npm run soak`: runs seeds one after another; prints a JSON line for each and how many failed. */
 import { Command, InvalidArgumentError } from 'commander';
 import { runSoak } from './SoakRun.js';
 
@@ -12,7 +12,7 @@
   return count;
 }
 
-/** Runs the command; gives the exit code, 0 only if nothing was broken. */
+/** Runs the command; returns the exit code, 0 only if no seed had a violation. */
 export async function runSoakCommand(argv: readonly string[]): Promise<number> {
   const { seed, seeds, seconds, daemons } = new Command('soak')
     .description(
--- a/packages/bench/src/SoakPlan.ts
+++ b/packages/bench/src/SoakPlan.ts
@@ -1,11 +1,11 @@
-/** What a soak does: the stack, its callers, and faults in series and overlapping, all drawn from one seed. */
+/** Plan of a soak: the stack's size, its callers, and sequential and overlapping faults, from one seed. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StackSize } from './StackPlan.js';
 import { DEFAULT_STACK_SIZE } from './StackPlan.js';
 
-/** Kinds of faults; those of daemons are signals. */
+/** Kinds of faults; daemon faults are signals, and `Change` submits a manifest. */
 export const SoakFaultKind = {
   EngineCrash: 'engine-crash',
   EngineHang: 'engine-hang',
@@ -22,20 +22,20 @@
 
 export type SoakFaultKindName = (typeof SoakFaultKind)[keyof typeof SoakFaultKind];
 
-/** One fault; `target` is drawn, and taken modulo what there is. */
+/** One fault; `target` is a random number, taken modulo the number of possible targets. */
 export interface SoakFault {
   readonly kind: SoakFaultKindName;
-  /** Since the start of the callers. */
+  /** Start of the fault, since the start of the callers. */
   readonly at: Millis;
-  /** How long it lasts; a daemon that was stopped or killed starts again after it. */
+  /** Duration of the fault; a daemon that was stopped or killed starts again after it. */
   readonly time: Millis;
   readonly target: number;
 }
 
-/** What can be chosen of a soak. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Time for which callers send. */
+  /** Time during which callers send requests. */
   readonly time: Millis;
   readonly daemonsPerDomain: number;
 }
@@ -47,19 +47,19 @@
 }
 
 const KINDS = Object.values(SoakFaultKind);
-/** No fault begins before callers have connections, nor so late that nobody meets it. */
+/** Faults start after callers have connected, and early enough that requests still run into them. */
 const FIRST_FAULT: Millis = 1000;
-const QUIET_END: Millis = 3000;
-const LEAST_TIME: Millis = 200;
-const MOST_TIME: Millis = 2500;
+const FAULT_FREE_END: Millis = 3000;
+const MIN_FAULT_TIME: Millis = 200;
+const MAX_FAULT_TIME: Millis = 2500;
 const MEAN_GAP: Millis = 1500;
-/** More than there are of anything. */
-const TARGETS = 65_536;
-/** Share of faults that come together with the one before. */
-const TOGETHER = 0.4;
+/** Larger than the number of targets of any kind. */
+const TARGET_RANGE = 65_536;
+/** Probability that the next fault starts within `MIN_FAULT_TIME` of the one before, and so overlaps it. */
+const OVERLAP_SHARE = 0.4;
 const CALLERS_PER_DAEMON = 4;
 
-/** Draws a soak. */
+/** Draws the plan of a soak from its seed. */
 export function planSoak({ seed, time, daemonsPerDomain }: SoakOptions): SoakPlan {
   const random = createRandom(seed);
   const domains = 2 + random.nextInt(2);
@@ -73,14 +73,15 @@
 function drawFaults(random: Random, time: Millis): readonly SoakFault[] {
   const faults: SoakFault[] = [];
   let at = FIRST_FAULT;
-  while (at < time - QUIET_END) {
+  while (at < time - FAULT_FREE_END) {
     faults.push({
       kind: KINDS[random.nextInt(KINDS.length)] ?? SoakFaultKind.Change,
       at: Math.round(at),
-      time: Math.round(LEAST_TIME + random.nextFloat() * (MOST_TIME - LEAST_TIME)),
-      target: random.nextInt(TARGETS),
+      time: Math.round(MIN_FAULT_TIME + random.nextFloat() * (MAX_FAULT_TIME - MIN_FAULT_TIME)),
+      target: random.nextInt(TARGET_RANGE),
     });
-    at += random.nextFloat() < TOGETHER ? random.nextFloat() * LEAST_TIME : drawGap(random);
+    at +=
+      random.nextFloat() < OVERLAP_SHARE ? random.nextFloat() * MIN_FAULT_TIME : drawGap(random);
   }
   return faults;
 }
--- a/packages/bench/src/SoakRun.ts
+++ b/packages/bench/src/SoakRun.ts
@@ -1,4 +1,4 @@
-/** Plays one soak: a stack of real processes on loopback, callers, and faults from outside of the daemons. */
+/** Runs one soak: real processes on loopback, callers, and faults injected from outside the daemons. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as sleepFor } from 'node:timers/promises';
@@ -17,40 +17,44 @@
 import { launchStack } from './StackLauncher.js';
 import { planManifest } from './StackPlan.js';
 
-/** The line of a seed. */
+/** Output line of one seed. */
 export interface SoakReport {
   readonly seed: number;
+  /** Daemon processes, restarts included. */
   readonly processes: number;
   readonly requests: number;
   readonly answered: number;
   readonly refused: number;
+  /** Requests whose connection closed before the answer was complete. */
   readonly ended: number;
   readonly faults: number;
+  /** Manifest changes that were accepted. */
   readonly changes: number;
+  /** Violations found. */
   readonly broken: readonly string[];
-  /** Where the daemons' logs are, if something is broken. */
+  /** Directory of the daemons' logs; set only if there are violations. */
   readonly logs?: string;
 }
 
-/** Time after the last fault in which daemons settle, before they are asked and stopped. */
+/** Time for daemons to settle after the last request and fault, before the final checks and the stop. */
 const SETTLE_TIME: Millis = 6000;
-const ASK_PERIOD: Millis = 500;
-const GRACE: Millis = 20_000;
-const SLOW_FACTOR = 8;
-const SLOW_CALL: Millis = 300;
+const REVISION_POLL_PERIOD: Millis = 500;
+const STOP_GRACE: Millis = 20_000;
+const ENGINE_SLOW_FACTOR = 8;
+const PLATFORM_CALL_DELAY: Millis = 300;
 const QUEUE_LIMIT = 256;
 
 async function sleep(time: Millis): Promise<void> {
   await sleepFor(time);
 }
 
-/** Plays the soak of a seed. Logs are kept if something is broken. */
+/** Runs the soak of a seed. Logs are kept if there are violations or the run fails. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const plan = planSoak(options);
   const stack = await launchStack(plan.size);
-  let broken: readonly string[] = ['not played to its end'];
+  let broken: readonly string[] = ['did not run to the end'];
   try {
-    const evidence = await playSoak(stack, plan, options);
+    const evidence = await collectEvidence(stack, plan, options);
     broken = checkSoak(evidence);
     return createReport(options, plan, evidence, broken, stack.folder);
   } finally {
@@ -58,24 +62,28 @@
   }
 }
 
-/** Lets callers send while faults are carried out, then settles, asks and stops. */
-async function playSoak(stack: Stack, plan: SoakPlan, options: SoakOptions): Promise<SoakEvidence> {
+/** Runs callers and faults, waits for the daemons to settle, reads all ledgers and stops the daemons. */
+async function collectEvidence(
+  stack: Stack,
+  plan: SoakPlan,
+  options: SoakOptions,
+): Promise<SoakEvidence> {
   const start = performance.now();
   const now = (): Millis => performance.now() - start;
   const daemons = createSoakDaemons(stack, now, sleep);
-  const changes = createChanges(stack, plan.size);
+  const changes = createManifestChanges(stack, plan.size);
   const records: SoakRecord[] = [];
   const told: SoakRevisions['told'][number][] = [];
-  let isAsking = true;
+  let isPolling = true;
 
-  async function askRevisions(): Promise<void> {
-    while (isAsking) {
+  async function pollRevisions(): Promise<void> {
+    while (isPolling) {
       told.push(...(await daemons.readRevisions()));
-      await sleep(ASK_PERIOD);
+      await sleep(REVISION_POLL_PERIOD);
     }
   }
 
-  const asking = askRevisions();
+  const polling = pollRevisions();
   const callers = Array.from({ length: plan.callers }, (_, i) =>
     runSoakCaller({
       name: `caller-${i}`,
@@ -89,12 +97,12 @@
   );
   const faults = plan.faults.map(async (fault) => {
     await sleep(Math.max(0, fault.at - now()));
-    await carryOut(stack, daemons, changes.submit, fault);
+    await injectFault(stack, daemons, changes.submit, fault);
   });
   await Promise.all([...callers, ...faults]);
   await sleep(SETTLE_TIME);
-  isAsking = false;
-  await asking;
+  isPolling = false;
+  await polling;
   const last = await daemons.readRevisions();
   const effects = await readLedgers<ServiceEffect>(stack.services);
   const passes = await readLedgers<LayerPass>(stack.engines);
@@ -106,14 +114,14 @@
     passes,
     layers: plan.size.layers,
     revisions: { told, last, accepted: changes.getNewest() },
-    grace: GRACE,
+    grace: STOP_GRACE,
   };
 }
 
 function createReport(
   { seed }: SoakOptions,
   plan: SoakPlan,
-  { records, processes: lives, revisions }: SoakEvidence,
+  { records, processes, revisions }: SoakEvidence,
   broken: readonly string[],
   folder: string,
 ): SoakReport {
@@ -121,7 +129,7 @@
     records.filter((record) => record.outcome === outcome).length;
   return {
     seed,
-    processes: lives.length,
+    processes: processes.length,
     requests: records.length,
     answered: count(SoakOutcome.Answered),
     refused: count(SoakOutcome.Refused),
@@ -133,8 +141,8 @@
   };
 }
 
-/** Submits manifests that differ in one team's limit. */
-function createChanges(stack: Stack, size: Parameters<typeof planManifest>[0]) {
+/** Submits manifests that differ only in the teams' queue limit. */
+function createManifestChanges(stack: Stack, size: Parameters<typeof planManifest>[0]) {
   let submitted = 0;
   let newest = 1;
   return {
@@ -155,10 +163,10 @@
   };
 }
 
-async function carryOut(
+async function injectFault(
   stack: Stack,
   daemons: SoakDaemons,
-  change: () => Promise<void>,
+  submitChange: () => Promise<void>,
   { kind, time: ms, target }: SoakFault,
 ): Promise<void> {
   const engine = stack.engines[target % stack.engines.length]?.url ?? '';
@@ -169,13 +177,13 @@
     case SoakFaultKind.EngineHang:
       return setFault(engine, { kind: 'hang', ms });
     case SoakFaultKind.EngineSlow:
-      return setFault(engine, { kind: 'slow', ms, factor: SLOW_FACTOR });
+      return setFault(engine, { kind: 'slow', ms, factor: ENGINE_SLOW_FACTOR });
     case SoakFaultKind.ServiceLost:
       return setFault(service, { kind: 'drop-answer', ms, count: 1 + (target % 3) });
     case SoakFaultKind.PlatformOutage:
       return setFault(stack.platform, { kind: 'outage', ms });
     case SoakFaultKind.PlatformSlow:
-      return setFault(stack.platform, { kind: 'slow', ms, factor: SLOW_CALL });
+      return setFault(stack.platform, { kind: 'slow', ms, factor: PLATFORM_CALL_DELAY });
     case SoakFaultKind.PlatformLost:
       return setFault(stack.platform, { kind: 'drop-answer', ms, count: 1 + (target % 3) });
     case SoakFaultKind.DaemonPause:
@@ -185,7 +193,7 @@
     case SoakFaultKind.DaemonKill:
       return daemons.restart(target, 'SIGKILL', ms);
     default:
-      return change();
+      return submitChange();
   }
 }
 
--- a/packages/bench/src/StackLauncher.ts
+++ b/packages/bench/src/StackLauncher.ts
@@ -1,4 +1,4 @@
-/** Launches a whole stack on loopback: stand-ins, daemons, and the first manifest by command line. */
+/** Launches a stack on loopback: stand-ins, daemons, and a first manifest submitted through the CLI. */
 import { mkdtempSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -18,17 +18,19 @@
 
 const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_MS = 50;
-const LIST_LAG_MS = 500;
+const PLATFORM_LIST_LAG_MS = 500;
 const PORTS_PER_DAEMON = 3;
 
 /** A daemon of the stack. */
 export interface StackDaemon {
   readonly id: string;
   readonly domain: string;
+  /** Base URL of the listener for callers. */
   readonly callers: string;
+  /** Base URL of the listener for operators. */
   readonly admin: string;
   readonly process: StackProcess;
-  /** What the daemon says of itself to operators. */
+  /** Reads the daemon's `/v1/status`. */
   readStatus(): Promise<unknown>;
 }
 
@@ -43,14 +45,15 @@
   readonly daemons: readonly StackDaemon[];
   readonly engines: readonly StackServer[];
   readonly services: readonly StackServer[];
+  /** Base URL of the stand-in platform. */
   readonly platform: string;
-  /** Runs `skylarksail` against all daemons. */
+  /** Runs the command-line tool against all daemons. */
   runCli(args: readonly string[]): Promise<{ readonly code: number; readonly output: string }>;
-  /** Where the daemons' logs and settings are. */
+  /** Directory of the daemons' logs and settings. */
   readonly folder: string;
-  /** Starts another daemon in a domain. */
+  /** Starts another daemon in a domain and waits until it answers health checks. */
   startDaemon(id: string, domain: string): Promise<StackDaemon>;
-  /** Ends all processes; the folder stays if `keepsFolder`. */
+  /** Kills all processes; the folder is kept if `keepsFolder` is set. */
   stop(keepsFolder?: boolean): Promise<void>;
 }
 
@@ -59,6 +62,7 @@
   SKYLARKSAIL_OPERATOR_TOKEN: 'stack-operator-token',
 } as const;
 
+/** Launches a stack and waits until every daemon is ready and knows all engines. */
 export async function launchStack(size: StackSize): Promise<Stack> {
   const folder = mkdtempSync(join(tmpdir(), 'skylarksail-stack-'));
   const processes: StackProcess[] = [];
@@ -67,7 +71,7 @@
   const platform = await startStandIns('platform', {
     host: STACK_HOST,
     port: 0,
-    listLagMs: LIST_LAG_MS,
+    listLagMs: PLATFORM_LIST_LAG_MS,
   });
   processes.push(platform.process);
   const platformAddress = platform.ready.addresses[0]?.address as HostPort;
@@ -113,7 +117,7 @@
     );
   }
 
-  /** The platform knows its machines; here the launcher tells the stand-in. */
+  /** Registers an instance with the stand-in platform; a real platform knows its machines itself. */
   async function register(record: {
     readonly id: string;
     readonly role: 'entry' | 'engine' | 'service';
@@ -248,11 +252,11 @@
   return status.engines.known >= engineCount;
 }
 
-/** Asks again until it holds; throws after a bound. */
-export async function waitFor(holds: () => Promise<boolean>, what: string): Promise<void> {
-  const giveUpAt = performance.now() + READY_TIMEOUT_MS;
-  while (!(await holds())) {
-    if (performance.now() > giveUpAt) {
+/** Polls a condition until it is met; throws after `READY_TIMEOUT_MS`. */
+export async function waitFor(isMet: () => Promise<boolean>, what: string): Promise<void> {
+  const deadline = performance.now() + READY_TIMEOUT_MS;
+  while (!(await isMet())) {
+    if (performance.now() > deadline) {
       throw new Error(`waited too long for ${what}`);
     }
     await sleep(READY_POLL_MS);
--- a/packages/bench/src/StackMain.ts
+++ b/packages/bench/src/StackMain.ts
@@ -1,9 +1,9 @@
-/** `npm run stack`: the stand-ins and daemons, left running until SIGTERM. */
+/** `npm run stack`: runs the stand-ins and daemons until SIGTERM or SIGINT. */
 import { Command } from 'commander';
 import { launchStack } from './StackLauncher.js';
 import { DEFAULT_STACK_SIZE } from './StackPlan.js';
 
-/** Runs the stack; prints one JSON line when it is ready. */
+/** Launches the stack; prints its URLs as one JSON line when it is ready. */
 export async function runStackCommand(argv: readonly string[]): Promise<void> {
   const defaults = DEFAULT_STACK_SIZE;
   const options = new Command('stack')
--- a/packages/bench/src/StackPlan.ts
+++ b/packages/bench/src/StackPlan.ts
@@ -1,4 +1,4 @@
-/** What a stack consists of: engines, services, daemons and the manifest that they serve. */
+/** Layout of a loopback stack: its engines, services, daemons and the manifest that it serves. */
 import { createHash } from 'node:crypto';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
@@ -13,10 +13,10 @@
   readonly daemonsPerDomain: number;
   readonly enginesPerDomain: number;
   readonly layers: number;
-  /** Engines that a chain passes through. */
+  /** Stages of a chain; each engine holds the layers of one stage. */
   readonly stages: number;
   readonly stepMsPerLayer: number;
-  /** Processes over which a domain's stand-in engines are spread; 1 if not given. */
+  /** Processes that a domain's stand-in engines are split over; defaults to 1. */
   readonly engineProcesses?: number;
 }
 
@@ -34,7 +34,7 @@
 export const STACK_ADAPTER = 'monthly';
 export const STACK_HOST = '127.0.0.1';
 
-/** Teams of the stack with their bearer keys; stand-ins only, no secret of anybody. */
+/** Teams of the stack with their bearer keys. The keys are test values, not secrets. */
 export const STACK_TEAMS = [
   { id: 'branches', key: 'key-branches', maxPriority: 'high', share: 3 },
   { id: 'schools', key: 'key-schools', maxPriority: 'normal', share: 1 },
@@ -50,12 +50,12 @@
 const LAYER_BYTES = 1e9;
 const MAX_BATCH = 64;
 
-/** Ids of the failure domains. */
+/** Returns the ids of the failure domains. */
 export function listDomains(size: StackSize): readonly string[] {
   return Array.from({ length: size.domains }, (_, i) => `domain-${String.fromCharCode(97 + i)}`);
 }
 
-/** Engines of one domain, each stage held by as many of them as come out even. */
+/** Plans the engines of one domain; they are assigned to the stages round-robin. */
 export function planEngines(size: StackSize, domain: string): readonly StandInEngineOptions[] {
   const random = createRandom(size.seed);
   return Array.from({ length: size.enginesPerDomain }, (_, i) => {
@@ -93,7 +93,7 @@
   });
 }
 
-/** Servers of the plain service, one in each domain. */
+/** Plans the servers of the plain service, one in each domain. */
 export function planServices(size: StackSize): readonly StandInServiceOptions[] {
   return listDomains(size).map((domain) => ({
     id: `accounts/${domain}`,
@@ -103,7 +103,7 @@
   }));
 }
 
-/** The manifest that the stack serves. */
+/** Creates the manifest that the stack serves. */
 export function planManifest(size: StackSize): ManifestInput {
   return {
     schema: 1,
--- a/packages/bench/src/StackProcesses.ts
+++ b/packages/bench/src/StackProcesses.ts
@@ -1,4 +1,4 @@
-/** Starts and ends the plain processes of a stack. Each one is ended by its own handle only. */
+/** Starts and ends the child processes of a stack. Each is ended only through its own handle. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -13,9 +13,9 @@
 
 export interface StackProcess {
   readonly child: ChildProcess;
-  /** Asks it to stop and waits until it has. */
+  /** Sends SIGTERM and waits for the process to exit. */
   stop(): Promise<void>;
-  /** Ends it without notice. */
+  /** Sends SIGKILL and waits for the process to exit. */
   kill(): Promise<void>;
 }
 
@@ -35,7 +35,7 @@
   return fileURLToPath(new URL(`../../${path}`, import.meta.url));
 }
 
-/** Starts a process of stand-ins and waits until they listen. */
+/** Starts a process of stand-ins and waits until it reports the addresses they listen on. */
 export async function startStandIns(
   kind: 'engines' | 'services' | 'platform',
   spec: unknown,
@@ -51,7 +51,7 @@
   return { process: wrapChild(child), ready: JSON.parse(line) as StandInReady };
 }
 
-/** Starts a daemon with a settings file; its log goes to `logFd`. */
+/** Starts a daemon with a settings file; its log is written to `logFd`. */
 export function startDaemonProcess(
   settingsPath: string,
   env: Readonly<Record<string, string>>,
@@ -65,7 +65,7 @@
   return wrapChild(child);
 }
 
-/** Runs the command-line tool; gives its exit code and what it printed. */
+/** Runs the command-line tool; returns its exit code, and its stdout and stderr as one text. */
 export async function runCliProcess(
   args: readonly string[],
   env: Readonly<Record<string, string>>,
@@ -86,7 +86,7 @@
   return { code: code ?? 1, output };
 }
 
-/** Ports that nobody listens on now. */
+/** Finds ports that are free at the time of the call; they are not reserved. */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
   const servers = await Promise.all(
     Array.from({ length: count }, async () => {
--- a/packages/bench/src/ThroughputBench.ts
+++ b/packages/bench/src/ThroughputBench.ts
@@ -1,6 +1,7 @@
 /**
- * The throughput bench: virtual engines and links, several entry instances with lagging views, the
- * router against baselines, at the hardware's bound and at three times it.
+ * The throughput bench: compares the router with baselines on virtual engines and links, with several
+ * entry instances that get delayed load reports. The load is slightly above the hardware's bound; the
+ * router also runs at the bound and at three times the bound.
  */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
@@ -34,13 +35,13 @@
 
 export interface ThroughputOptions {
   readonly seed: number;
-  /** Virtual time that is measured, after the warm-up. */
+  /** Virtual time that is measured after the warm-up. */
   readonly measuredMs?: Millis;
-  /** Baselines to run beside the router; all by default. */
+  /** Names of the baselines to run in addition to the router; all by default. */
   readonly baselines?: readonly string[];
   /** Names of the shapes to run; all by default. */
   readonly shapes?: readonly string[];
-  /** Settings of the router to try, in place of its own. */
+  /** Overrides of the router's default settings. */
   readonly tuning?: Partial<RoutingTuning>;
 }
 
@@ -50,20 +51,20 @@
   readonly bound_tokens_s: number;
   readonly measured_tokens_s: number;
   readonly ratio: number;
-  /** Ratio to the bound of each baseline. */
+  /** Token rate of each baseline as a share of the bound. */
   readonly baselines: Readonly<Record<string, number>>;
   readonly ttft_p95_ms: number;
   readonly tbt_p95_ms: number;
-  /** Tokens a second with callers asking for just the bound: what they leave idle counts against it. */
+  /** Tokens per second at a load equal to the bound; idle time between arrivals lowers it. */
   readonly at_bound_tokens_s: number;
-  /** Tokens a second at three times the bound, as a share of those at 1.2 times the bound. */
+  /** Tokens per second at three times the bound, as a share of those at 1.2 times the bound. */
   readonly overload3_ratio: number;
-  /** The same as a share of those at the bound itself. */
+  /** Tokens per second at three times the bound, as a share of those at the bound. */
   readonly overload3_to_bound_ratio: number;
   readonly overload3_ttft_p95_ms: number;
   readonly overload3_tbt_p95_ms: number;
   readonly layer_faults: number;
-  /** The runs behind the figures. */
+  /** Results of each run, by baseline or load of the router. */
   readonly runs: Readonly<Record<string, ThroughputRun>>;
 }
 
@@ -75,23 +76,23 @@
 const REPORT_LAG_MS = 300;
 const ENTRY_DELAY_MS = 0.3;
 const KV_BYTES_PER_LAYER = 4096;
-/** Load against the bound: a little above it, so that callers never leave the engines idle. */
+/** Load as a multiple of the bound; it is slightly above, so that engines never lack requests. */
 const FULL_LOAD = 1.2;
 const BOUND_LOAD = 1;
 const OVERLOAD = 3;
 
-/** Runs the bench; one line a case, the last one the whole. */
+/** Runs the bench; returns a line per case and, for more than one case, a summary as the last line. */
 export function runThroughputBench(options: ThroughputOptions): readonly ThroughputLine[] {
   const shapes = createBenchShapes().filter(({ name }) => options.shapes?.includes(name) ?? true);
   const lines = shapes.map((shape) => runShape(shape, options));
-  return lines.length > 1 ? [...lines, createTotal(lines)] : lines;
+  return lines.length > 1 ? [...lines, createSummary(lines)] : lines;
 }
 
 function runShape(shape: BenchShape, options: ThroughputOptions): ThroughputLine {
   const getLink = createLinkLookup(shape);
   const bound = computeBound(shape, (from, to) => getLink(from, to).bytesPerSecond);
-  const count = shape.domains.length * shape.instancesPerDomain;
-  const maxCalls = (bound * FULL_TOKEN_GAP_MS) / MILLIS_PER_SECOND / count;
+  const instanceCount = shape.domains.length * shape.instancesPerDomain;
+  const maxCalls = (bound * FULL_TOKEN_GAP_MS) / MILLIS_PER_SECOND / instanceCount;
   const baselines = {
     'round-robin': createRoundRobin,
     'least-loaded': createLeastLoaded,
@@ -111,9 +112,9 @@
   const chosen = Object.entries(baselines).filter(
     ([name]) => options.baselines?.includes(name) ?? true,
   );
-  chosen.forEach(([name, createPick]) => {
+  chosen.forEach(([name, createPickEngine]) => {
     const run = measure(name, FULL_LOAD, (_i, random) =>
-      createBaselinePolicy(shape.engines, maxCalls, createPick, random),
+      createBaselinePolicy(shape.engines, maxCalls, createPickEngine, random),
     );
     ratios[name] = round(run.tokens_s / bound);
   });
@@ -178,7 +179,7 @@
       return createBenchEntry({ timers, domain, layerCount, policy, open: fleet.open, meter });
     }),
   );
-  reportLoads(timers, fleet, policies, random);
+  scheduleLoadReports(timers, fleet, policies, random);
   sendRequests(timers, shape, bound * load, bound, entries, random);
   timers.advanceTo(WARM_UP_MS);
   meter.start();
@@ -186,8 +187,8 @@
   return { run: meter.read(measuredMs), faults: fleet.readLedger().layerOrderViolations };
 }
 
-/** Each instance hears of each engine at its own times, later than the engine spoke. */
-function reportLoads(
+/** Delivers each load report to each instance after a random delay. */
+function scheduleLoadReports(
   timers: TimerService,
   fleet: VirtualFleet,
   policies: readonly BenchPolicy[],
@@ -228,8 +229,11 @@
   );
 }
 
-/** The worst of the cases in each field; the ratio is over all tokens. */
-function createTotal(lines: readonly ThroughputLine[]): ThroughputLine {
+/**
+ * Combines the cases. Token rates and faults are summed, `ratio` and the baselines' ratios are over all
+ * tokens, and the other fields are the worst of the cases.
+ */
+function createSummary(lines: readonly ThroughputLine[]): ThroughputLine {
   const sum = (read: (line: ThroughputLine) => number) =>
     lines.reduce((total, line) => total + read(line), 0);
   const bound = sum((line) => line.bound_tokens_s);
--- a/packages/bench/src/ThroughputEntry.ts
+++ b/packages/bench/src/ThroughputEntry.ts
@@ -1,4 +1,4 @@
-/** A virtual entry instance: a short queue by priority before a policy, calls to the fleet behind it. */
+/** A simulated entry instance: a bounded priority queue, a routing policy and calls to the fleet. */
 import { getPriorityRank, MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { DomainId, Millis } from '@skylarksail/core/CoreTypes';
@@ -13,7 +13,7 @@
 export interface BenchRequest {
   readonly id: string;
   readonly work: BenchRequestKind;
-  /** Text that the virtual engines read: `prefix key/prefix tokens/own tokens`. */
+  /** Text that the virtual engines parse: `prefix key/prefix tokens/own tokens`. */
   readonly prompt: string;
   readonly prefixKey: string;
   readonly ownTokens: number;
@@ -21,7 +21,7 @@
   readonly arrivedAt: Millis;
 }
 
-/** Hears what the callers of an instance see. */
+/** Receives the events that the callers of an instance observe. */
 export interface BenchMeter {
   onArrived(answerTokens: number): void;
   onFirstToken(wait: Millis, now: Millis): void;
@@ -41,24 +41,27 @@
 }
 
 const QUEUE_LIMIT = 64;
-/** A request that has waited so long could no longer give its first token in time. */
+/** A request that waits longer is refused, because its first token would come too late. */
 const MAX_WAIT_MS = 1000;
 const RETRY_PERIOD_MS = 10;
 const NO_ENGINES: ReadonlySet<string> = new Set();
 
-/** Starts an instance; the function returned takes the requests of its callers. */
+/** Starts an instance and returns the function that accepts the requests of its callers. */
 export function createBenchEntry(options: BenchEntryOptions): (req: BenchRequest) => void {
   const { timers, policy, meter } = options;
   let queue: BenchRequest[] = [];
 
   function accept(req: BenchRequest): void {
     meter.onArrived(req.answerTokens);
-    let at = queue.length;
+    let position = queue.length;
     const rank = getPriorityRank(req.work.priority);
-    while (at > 0 && getPriorityRank((queue[at - 1] as BenchRequest).work.priority) < rank) {
-      at -= 1;
+    while (
+      position > 0 &&
+      getPriorityRank((queue[position - 1] as BenchRequest).work.priority) < rank
+    ) {
+      position -= 1;
     }
-    queue.splice(at, 0, req);
+    queue.splice(position, 0, req);
     if (queue.length > QUEUE_LIMIT) {
       queue.pop();
       meter.onRefused();
@@ -67,15 +70,15 @@
   }
 
   function dispatch(): void {
-    const oldest = timers.now() - MAX_WAIT_MS;
-    const waiting = queue.filter(({ arrivedAt }) => arrivedAt >= oldest);
+    const earliestArrival = timers.now() - MAX_WAIT_MS;
+    const waiting = queue.filter(({ arrivedAt }) => arrivedAt >= earliestArrival);
     for (let i = waiting.length; i < queue.length; i++) {
       meter.onRefused();
     }
     queue = waiting;
     while (queue.length > 0) {
       const req = queue[0] as BenchRequest;
-      const routed = policy.choose(createBenchAsk(req));
+      const routed = policy.choose(createChainQuery(req));
       if (!routed) {
         return;
       }
@@ -84,7 +87,7 @@
     }
   }
 
-  function createBenchAsk(req: BenchRequest): ChainQuery {
+  function createChainQuery(req: BenchRequest): ChainQuery {
     const { prefixTokens, priority } = req.work;
     return {
       variant: BENCH_VARIANT,
@@ -107,8 +110,8 @@
 
     function end(): void {
       const gaps = req.answerTokens - 1;
-      const gap = firstAt !== null && gaps > 0 ? (lastAt - firstAt) / gaps : null;
-      policy.onEnd(routed, (firstAt ?? timers.now()) - startedAt, gap, timers.now());
+      const meanGap = firstAt !== null && gaps > 0 ? (lastAt - firstAt) / gaps : null;
+      policy.onEnd(routed, (firstAt ?? timers.now()) - startedAt, meanGap, timers.now());
       dispatch();
     }
 
--- a/packages/bench/src/ThroughputLoad.ts
+++ b/packages/bench/src/ThroughputLoad.ts
@@ -1,4 +1,7 @@
-/** The callers of the throughput bench: open-loop arrivals, and what a running fleet has in hand. */
+/**
+ * The load generator of the throughput bench: open-loop arrivals, preceded by the requests that a fleet
+ * in operation would already be running.
+ */
 import { MILLIS_PER_SECOND } from '@skylarksail/core/CoreConstants';
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { Random } from '@skylarksail/core/CoreRandom';
@@ -9,19 +12,19 @@
 import type { BenchRequest } from './ThroughputEntry.js';
 import type { BenchShape, BenchRequestKind } from './ThroughputShapes.js';
 
-/** Time between tokens at which a full fleet runs. */
+/** Time between the tokens of a stream on a fully loaded fleet. */
 export const FULL_TOKEN_GAP_MS = 65;
-/** Callers come once the instances know the engines. */
-const START_MS = 800;
-/** Time over which the requests arrive that a running fleet would have in hand at the start. */
-const FILL_MS = 1200;
+/** Requests start once the instances have the first load reports of the engines. */
+const FIRST_ARRIVAL_MS = 800;
+/** Time over which the preloaded requests arrive. */
+const PRELOAD_MS = 1200;
 
-/** Callers that do not wait for each other; the balancer gives each request to any instance. */
+/** Sends requests in an open loop, each to a random instance as a load balancer would. */
 export function sendRequests(
   timers: TimerService,
   shape: BenchShape,
   tokensPerSecond: number,
-  fullTokensPerSecond: number,
+  boundTokensPerSecond: number,
   entries: readonly ((req: BenchRequest) => void)[],
   random: Random,
 ): void {
@@ -34,34 +37,40 @@
     entry?.(createRequest(shape.work, `r${count}`, timers.now(), random));
     timers.registerTimeout(-Math.log(1 - random.nextFloat()) * meanGap, sendNext);
   }
-  /** A fleet that starts empty would be measured before it is full: long answers take 20 s and more. */
-  function fill(): void {
-    const inHand =
-      Math.min(tokensPerSecond, fullTokensPerSecond) * (FULL_TOKEN_GAP_MS / MILLIS_PER_SECOND);
-    for (let i = 0; i < inHand; i++) {
+  /**
+   * Sends the requests that a fleet in operation would be running at the start. Without them the fleet
+   * would be measured before it is full: long answers take 20 s and more.
+   */
+  function preloadRunningRequests(): void {
+    const runningCount =
+      Math.min(tokensPerSecond, boundTokensPerSecond) * (FULL_TOKEN_GAP_MS / MILLIS_PER_SECOND);
+    for (let i = 0; i < runningCount; i++) {
       const entry = entries[i % entries.length];
-      const rest = createRunningRequest(shape.work, `f${i}`, random);
-      timers.registerTimeout((FILL_MS * i) / inHand, () =>
-        entry?.({ ...rest, arrivedAt: timers.now() }),
+      const partial = createPartialRequest(shape.work, `f${i}`, random);
+      timers.registerTimeout((PRELOAD_MS * i) / runningCount, () =>
+        entry?.({ ...partial, arrivedAt: timers.now() }),
       );
     }
   }
-  timers.registerTimeout(START_MS, () => {
-    fill();
+  timers.registerTimeout(FIRST_ARRIVAL_MS, () => {
+    preloadRunningRequests();
     sendNext();
   });
 }
 
-/** What is left of a request met at a random moment: long ones are met more often. */
-function createRunningRequest(
+/**
+ * Creates the remainder of a running request, sampled at a random time. Longer requests are sampled more
+ * often.
+ */
+function createPartialRequest(
   work: readonly BenchRequestKind[],
   id: string,
   random: Random,
 ): BenchRequest {
   const weights = work.map((w) => ({ ...w, share: w.share * w.answerTokens }));
   const total = weights.reduce((sum, { share }) => sum + share, 0);
-  const byTime = weights.map((w) => ({ ...w, share: w.share / total }));
-  const req = createRequest(byTime, id, 0, random);
+  const weightedByLength = weights.map((w) => ({ ...w, share: w.share / total }));
+  const req = createRequest(weightedByLength, id, 0, random);
   return { ...req, answerTokens: Math.max(1, Math.round(req.answerTokens * random.nextFloat())) };
 }
 
@@ -86,7 +95,7 @@
     return draw < 0;
   });
   const last = work.at(-1);
-  invariant(last, 'there is work');
+  invariant(last, 'the workload has a kind of request');
   return found ?? last;
 }
 
@@ -94,7 +103,7 @@
   return Math.max(1, Math.round(mean * (0.5 + random.nextFloat())));
 }
 
-/** What the virtual engines read from a prompt of the bench. */
+/** Parses a prompt of the bench for the virtual engines. */
 export function readBenchPrompt(prompt: string): VirtualPrompt {
   const [prefixKey = null, prefix, own] = prompt.split('/');
   const prefixTokens = Number(prefix);
--- a/packages/bench/src/ThroughputPolicies.ts
+++ b/packages/bench/src/ThroughputPolicies.ts
@@ -1,4 +1,4 @@
-/** Ways to choose a chain that the throughput bench compares: the router's and the baselines. */
+/** The routing policies that the throughput bench compares: the router and the baselines. */
 import type { Stage } from '@skylarksail/core/CoreChain';
 import { createChain } from '@skylarksail/core/CoreChain';
 import type { SeenEngineLoad } from '@skylarksail/core/CoreEngine';
@@ -18,9 +18,9 @@
 import type { BenchEngine } from './ThroughputShapes.js';
 import { BENCH_VARIANT } from './ThroughputShapes.js';
 
-/** How one entry instance chooses; it hears of its own calls and of late load reports. */
+/** Chain selection of one entry instance, based on its own calls and on delayed load reports. */
 export interface BenchPolicy {
-  /** A chain, or null while the request has to wait. */
+  /** Returns a chain, or null while the request has to wait. */
   choose(ask: ChainQuery): RoutedCall | null;
   onStart(call: RoutedCall, now: Millis): void;
   onFirstToken(call: RoutedCall, now: Millis): void;
@@ -30,7 +30,7 @@
 
 const PLAN_PERIOD_MS = 100;
 
-/** The router itself. */
+/** Creates the policy under test, which uses the chain selection and plans of the router. */
 export function createRouterPolicy(initial: RoutingState, random: Random): BenchPolicy {
   let state = initial;
   let nextPlanAt = 0;
@@ -64,84 +64,87 @@
   };
 }
 
-/** What a baseline may look at to pick the engine of a stage. */
+/** Calls by engine that a baseline may use: those in the load reports, and the instance's own. */
 export interface BaselineView {
   readonly reported: ReadonlyMap<EngineId, number>;
   readonly own: ReadonlyMap<EngineId, number>;
 }
 
 export type PickEngine = (
-  options: readonly BenchEngine[],
+  candidates: readonly BenchEngine[],
   view: BaselineView,
   random: Random,
 ) => BenchEngine;
 
-/** Picks engine by engine; holds back new calls above `maxCalls`, as the router does by its own count. */
+/**
+ * Creates a policy that picks the engine of each stage in turn. It holds back new calls above `maxCalls`,
+ * as the router does with its own limit.
+ */
 export function createBaselinePolicy(
   engines: readonly BenchEngine[],
   maxCalls: number,
-  createPick: () => PickEngine,
+  createPickEngine: () => PickEngine,
   random: Random,
 ): BenchPolicy {
   const reported = new Map<EngineId, number>();
   const own = new Map<EngineId, number>();
-  const pick = createPick();
-  let calls = 0;
+  const pickEngine = createPickEngine();
+  let runningCalls = 0;
 
-  function add(call: RoutedCall, change: number): void {
-    calls += change;
+  function updateCallCounts(call: RoutedCall, change: number): void {
+    runningCalls += change;
     call.chain.stages.forEach(({ engine }) => own.set(engine, (own.get(engine) ?? 0) + change));
   }
 
   return {
     choose(ask) {
-      if (calls >= maxCalls) {
+      if (runningCalls >= maxCalls) {
         return null;
       }
       const stages: Stage[] = [];
       for (let layer = 0; layer < ask.layerCount;) {
-        const options = engines.filter(
+        const candidates = engines.filter(
           ({ facts, holding }) => facts.domain === ask.domain && holding.layers.first === layer,
         );
-        const { facts, holding } = pick(options, { reported, own }, random);
+        const { facts, holding } = pickEngine(candidates, { reported, own }, random);
         stages.push({ engine: facts.id, layers: holding.layers });
         layer = holding.layers.end;
       }
       const chain = createChain(BENCH_VARIANT, ask.layerCount, stages);
-      invariant(chain.ok, 'whole ranges form a chain');
+      invariant(chain.ok, 'engines whose layer ranges are contiguous form a chain');
       const { promptTokens, maxTokens } = ask;
       return { chain: chain.value, promptTokens, maxTokens };
     },
-    onStart: (call) => add(call, 1),
+    onStart: (call) => updateCallCounts(call, 1),
     onFirstToken() {},
-    onEnd: (call) => add(call, -1),
+    onEnd: (call) => updateCallCounts(call, -1),
     onLoad: ({ load }) => reported.set(load.engine, load.running + load.queued),
   };
 }
 
 export function createRoundRobin(): PickEngine {
   let next = 0;
-  return (options) => {
+  return (candidates) => {
     next += 1;
-    return options[next % options.length] as BenchEngine;
+    return candidates[next % candidates.length] as BenchEngine;
   };
 }
 
 export function createLeastLoaded(): PickEngine {
-  return (options, { reported }) =>
-    options.reduce((a, b) => (getCalls(reported, b) < getCalls(reported, a) ? b : a));
+  return (candidates, { reported }) =>
+    candidates.reduce((a, b) => (getCallCount(reported, b) < getCallCount(reported, a) ? b : a));
 }
 
 export function createPowerOfTwo(): PickEngine {
-  return (options, { reported, own }, random) => {
-    const a = options[random.nextInt(options.length)] as BenchEngine;
-    const b = options[random.nextInt(options.length)] as BenchEngine;
-    const count = (engine: BenchEngine) =>
-      getCalls(reported, engine) + getCalls(own, engine) / (engine.facts.maxBatch + 1);
-    return count(b) < count(a) ? b : a;
+  return (candidates, { reported, own }, random) => {
+    const a = candidates[random.nextInt(candidates.length)] as BenchEngine;
+    const b = candidates[random.nextInt(candidates.length)] as BenchEngine;
+    const computeLoad = (engine: BenchEngine) =>
+      getCallCount(reported, engine) + getCallCount(own, engine) / (engine.facts.maxBatch + 1);
+    return computeLoad(b) < computeLoad(a) ? b : a;
   };
 }
 
-function getCalls(counts: ReadonlyMap<EngineId, number>, { facts }: BenchEngine): number {
+function getCallCount(counts: ReadonlyMap<EngineId, number>, { facts }: BenchEngine): number {
   return counts.get(facts.id) ?? 0;
 }
