--- a/packages/bench/src/ThroughputScale.ts
+++ b/packages/bench/src/ThroughputScale.ts
@@ -1,4 +1,7 @@
-/** What routing costs one instance by the number of engines: plans, choices, reports and records. */
+/**
+ * Time that routing takes in one instance, by the number of engines: planning, chain selection, load
+ * reports and call records.
+ */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import { createVirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -19,31 +22,31 @@
 import type { BenchEngine } from './ThroughputShapes.js';
 import { BENCH_VARIANT, createBenchShapes } from './ThroughputShapes.js';
 
-/** Figures of one size: a domain of `engines` engines. */
+/** Results for a domain of `engines` engines. */
 export interface ScaleLine {
   readonly bench: 'routing-scale';
   readonly engines: number;
   readonly racks: number;
-  /** Planning the whole domain anew. */
+  /** Planning the whole domain from scratch. */
   readonly plan_ms: number;
-  /** A look at all pools that finds nothing changed. */
+  /** A check of all pools that finds no change. */
   readonly refresh_us: number;
   readonly choose_us: number;
-  /** One load report of a digest that holds all engines. */
+  /** Applying one load report of a digest that covers all engines. */
   readonly report_us: number;
-  /** The records of one call: start, first token, end. */
+  /** Recording one call: start, first token and end. */
   readonly record_us: number;
 }
 
-const SIZES = [40, 100, 350, 700];
+const DOMAIN_SIZES = [40, 100, 350, 700];
 const ENGINES_PER_RACK = 8;
 const ROUNDS = 2000;
 const WARM_UP_ROUNDS = 300;
 const MICROS_PER_MILLI = 1000;
 
-/** Measures each size. `readClock` gives milliseconds with fractions. */
+/** Measures each size. `readClock` returns fractional milliseconds. */
 export function runScaleBench(seed: number, readClock: () => number): readonly ScaleLine[] {
-  return SIZES.map((size) => measureSize(size, seed, readClock));
+  return DOMAIN_SIZES.map((size) => measureSize(size, seed, readClock));
 }
 
 function measureSize(size: number, seed: number, readClock: () => number): ScaleLine {
@@ -67,7 +70,7 @@
   );
   let now = 0;
 
-  function time(rounds: number, step: () => void): number {
+  function measureMeanMs(rounds: number, step: () => void): number {
     for (let i = 0; i < Math.min(rounds, WARM_UP_ROUNDS); i++) {
       step();
     }
@@ -78,7 +81,7 @@
     return (readClock() - start) / rounds;
   }
 
-  function createAsk(): ChainQuery {
+  function createQuery(): ChainQuery {
     return {
       variant: BENCH_VARIANT,
       layerCount: 48,
@@ -92,30 +95,30 @@
     };
   }
 
-  function startCall(before: RoutingState) {
-    const ask = createAsk();
+  function selectCall(before: RoutingState) {
+    const ask = createQuery();
     const choice = selectChain(before, ask, random);
     return choice.ok ? { ...ask, chain: choice.value.chain } : null;
   }
 
-  const planMs = time(5, () => {
+  const planMs = measureMeanMs(5, () => {
     refreshPlans({ ...state, plans: new Map() }, now);
   });
   state = refreshPlans(state, now);
-  const refresh = time(ROUNDS, () => {
+  const refreshMs = measureMeanMs(ROUNDS, () => {
     state = refreshPlans(state, now);
   });
-  const choose = time(ROUNDS, () => {
-    startCall(state);
+  const chooseMs = measureMeanMs(ROUNDS, () => {
+    selectCall(state);
   });
-  const call = startCall(state);
+  const call = selectCall(state);
   invariant(call, 'an idle domain has a chain');
-  const record = time(ROUNDS, () => {
+  const recordMs = measureMeanMs(ROUNDS, () => {
     state = recordFirstToken(recordCallStart(state, call), call, now);
     const outcome = { kind: 'answered', firstTokenMs: 100, tokenGapMs: 60 } as const;
     state = recordCallEnd(state, call, outcome, true, now);
   });
-  const digest = time(ROUNDS / loads.length, () => {
+  const reportMs = measureMeanMs(ROUNDS / loads.length, () => {
     now += 1;
     state = setLoads(
       state,
@@ -128,14 +131,14 @@
     engines: size,
     racks: new Set(engines.map(({ facts }) => facts.rack)).size,
     plan_ms: Math.round(planMs * 10) / 10,
-    refresh_us: toMicros(refresh),
-    choose_us: toMicros(choose),
-    report_us: toMicros(digest / loads.length),
-    record_us: toMicros(record),
+    refresh_us: toMicros(refreshMs),
+    choose_us: toMicros(chooseMs),
+    report_us: toMicros(reportMs / loads.length),
+    record_us: toMicros(recordMs),
   };
 }
 
-/** A domain of so many engines, cut like those of the mixed shape, in racks of eight. */
+/** Creates `size` engines in racks of eight, with the accelerators and layer ranges of the mixed shape. */
 function createDomain(size: number): readonly BenchEngine[] {
   const shape = createBenchShapes().find(({ name }) => name === 'mixed');
   const models = shape?.engines.filter(({ facts }) => facts.domain === 'd1') ?? [];
--- a/packages/bench/src/ThroughputShapes.ts
+++ b/packages/bench/src/ThroughputShapes.ts
@@ -1,4 +1,4 @@
-/** Fleets and workloads of the throughput bench: both firms' shapes and one of mixed accelerators. */
+/** Fleets and workloads of the throughput bench: those of two firms, and one with mixed accelerators. */
 import type { PriorityName } from '@skylarksail/core/CoreConstants';
 import type { EngineFacts, Holding } from '@skylarksail/core/CoreEngine';
 import { EngineDuty } from '@skylarksail/core/CoreEngine';
@@ -10,14 +10,15 @@
   readonly holding: Holding;
 }
 
-/** A kind of request. Lengths are drawn between half and one and a half of the mean. */
+/** A kind of request. Lengths are drawn uniformly between 0.5 and 1.5 times the mean. */
 export interface BenchRequestKind {
   readonly name: string;
   /** Share of all requests. */
   readonly share: number;
   readonly priority: PriorityName;
-  /** Prompt tokens that all requests of one template share, and those of its own. */
+  /** Prompt tokens that all requests of one template share. */
   readonly prefixTokens: number;
+  /** Mean number of prompt tokens after the shared prefix. */
   readonly ownTokens: number;
   readonly answerTokens: number;
   readonly templates: number;
@@ -91,33 +92,32 @@
   createWork('quote', 0.3, 'urgent', 80, 30, 24, 3),
 ];
 
-/** All shapes of the bench. */
 export function createBenchShapes(): readonly BenchShape[] {
   return [createSaffronShape(), createCascadeShape(), createMixedShape()];
 }
 
-/** Three domains of engines of two kinds, three stages. */
+/** Three domains with two kinds of accelerators; the model is split into three stages. */
 function createSaffronShape(): BenchShape {
   const kinds = [MEDIUM, MEDIUM, SMALL, MEDIUM, SMALL];
   return {
     name: 'saffron',
     layerCount: LAYER_COUNT,
-    engines: DOMAINS.flatMap((domain, i) => fillRanges(domain, kinds, i === 0 ? 14 : 13)),
-    links: [{ from: '*', to: '*', ...FAST_LINK }, ...linkDomains()],
+    engines: DOMAINS.flatMap((domain, i) => assignEngines(domain, kinds, i === 0 ? 14 : 13)),
+    links: [{ from: '*', to: '*', ...FAST_LINK }, ...createDomainLinks()],
     domains: DOMAINS,
     instancesPerDomain: 2,
     work: SAFFRON_WORK,
   };
 }
 
-/** Three domains of engines of three kinds, three stages, one domain larger than the others. */
+/** Three domains with three kinds of accelerators and three stages; one domain is larger than the others. */
 function createCascadeShape(): BenchShape {
   const kinds = [LARGE, MEDIUM, SMALL, MEDIUM, SMALL];
   return {
     name: 'cascade',
     layerCount: LAYER_COUNT,
-    engines: DOMAINS.flatMap((domain, i) => fillRanges(domain, kinds, i === 0 ? 16 : 12)),
-    links: [{ from: '*', to: '*', ...FAST_LINK }, ...linkDomains()],
+    engines: DOMAINS.flatMap((domain, i) => assignEngines(domain, kinds, i === 0 ? 16 : 12)),
+    links: [{ from: '*', to: '*', ...FAST_LINK }, ...createDomainLinks()],
     domains: DOMAINS,
     instancesPerDomain: 2,
     work: CASCADE_WORK,
@@ -125,8 +125,8 @@
 }
 
 /**
- * Four kinds, cut at different layers: large engines take half of the model, the others a quarter. The
- * last rack of each domain stands behind a link that is a hundred times slower.
+ * Four kinds of accelerators with different layer ranges: large engines hold half of the model, the
+ * others a quarter. The last rack of each domain is behind a link that is a hundred times slower.
  */
 function createMixedShape(): BenchShape {
   const half = [range(0, 24), range(24, 48)];
@@ -142,27 +142,30 @@
     name: 'mixed',
     layerCount: LAYER_COUNT,
     engines,
-    links: [{ from: '*', to: '*', ...FAST_LINK }, ...linkDomains(), ...slow],
+    links: [{ from: '*', to: '*', ...FAST_LINK }, ...createDomainLinks(), ...slow],
     domains: DOMAINS,
     instancesPerDomain: 2,
     work: CASCADE_WORK,
   };
 }
 
-/** Engines of a domain over three racks, each given the range that has the least speed so far. */
-function fillRanges(
+/**
+ * Spreads the engines of a domain over three racks, fastest first. Each gets the layer range with the
+ * lowest total decode rate so far.
+ */
+function assignEngines(
   domain: string,
   kinds: readonly Accelerator[],
   count: number,
 ): readonly BenchEngine[] {
   const ranges = [range(0, 16), range(16, 32), range(32, 48)];
-  const speed = ranges.map(() => 0);
+  const rates = ranges.map(() => 0);
   const chosen = Array.from({ length: count }, (_, i) => kinds[i % kinds.length] as Accelerator);
   const fastestFirst = chosen.sort((a, b) => b.decode - a.decode);
   return fastestFirst.map((kind, i) => {
-    const at = speed.indexOf(Math.min(...speed));
-    speed[at] = (speed[at] ?? 0) + kind.decode;
-    return createEngine(domain, (i % 3) + 1, `e${i}`, kind, ranges[at] as LayerRange);
+    const lowest = rates.indexOf(Math.min(...rates));
+    rates[lowest] = (rates[lowest] ?? 0) + kind.decode;
+    return createEngine(domain, (i % 3) + 1, `e${i}`, kind, ranges[lowest] as LayerRange);
   });
 }
 
@@ -196,7 +199,7 @@
   };
 }
 
-function linkDomains(): readonly LinkFacts[] {
+function createDomainLinks(): readonly LinkFacts[] {
   return DOMAINS.flatMap((from, i) =>
     DOMAINS.slice(i + 1).map((to) => ({ from, to, ...DOMAIN_LINK })),
   );
--- a/packages/bench/src/__tests__/unit/ConfigBench.test.ts
+++ b/packages/bench/src/__tests__/unit/ConfigBench.test.ts
@@ -4,7 +4,7 @@
 import { createRecord, measureInForce, recordInForce } from '../../ConfigFleet.js';
 
 describe('ConfigBench', () => {
-  it('runs races, restarts, outages and cuts without a revert, the same for the same seed', async () => {
+  it('runs without reverts under races, restarts, outages and partitions, deterministically', async () => {
     const lines: ConfigBenchLine[] = [];
     const options = { shapes: [{ domains: 3, perDomain: 3 }], changes: 10, teams: 20 };
     for (const seed of [1, 1, 2, 3]) {
@@ -15,7 +15,7 @@
     expect(lines[0]?.changes).to.be.above(5);
   });
 
-  it('counts a revert, also over a restart, and a change that never came', () => {
+  it('counts a return to a lower revision and reports a change that never came into force', () => {
     const record = createRecord();
     recordInForce(record, 'a', 2, 10);
     recordInForce(record, 'a', 1, 20);
--- a/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
+++ b/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
@@ -15,7 +15,7 @@
 ) {
   const [shape] = createBenchShapes();
   if (!shape) {
-    throw new Error('there is a shape');
+    throw new Error('the bench has no shape');
   }
   return createRecoveryWorld({
     seed: 5,
@@ -28,7 +28,7 @@
 }
 
 describe('RecoveryBench', () => {
-  it('recovers a crashed stage sooner than the baseline, and the same with the same seed', async () => {
+  it('recovers a crashed stage sooner than the baseline, with equal results for equal seeds', async () => {
     const options = { seed: 1, faults: ['stage-crash'], load: 0.3 };
     const [line] = await runRecoveryBench(options);
     expect([line?.lost, line?.doubled, line?.cut_off]).to.deep.equal([0, 0, 0]);
@@ -37,36 +37,33 @@
     expect(await runRecoveryBench(options)).to.deep.equal([line]);
   });
 
-  it('loses, doubles and cuts off nothing under two faults at a time', async () => {
-    // Symptom: an answer is lost although each fault alone is survived.
-    // Sequence: a stage hangs while the platform is out; half a second later an instance dies, and a
-    // rack with it.
-    // Cause: recovery that relies on what the second fault takes away.
+  it('neither loses, duplicates nor truncates an answer when faults overlap', async () => {
+    // Guards against a recovery that survives each fault alone but relies on what another fault takes
+    // away: a stage hangs while the platform is out; half a second later an instance and a rack crash.
     const world = createWorld((instance) => instance);
     await world.advanceTo(4000);
     const names = ['stage-hang', 'platform-outage', 'instance-crash', 'rack-crash'];
-    const mends: (() => void)[] = [];
+    const clearFaults: (() => void)[] = [];
     for (const name of names) {
       const inject = RECOVERY_FAULTS[name];
-      mends.push(inject ? inject(world).clear : () => undefined);
+      clearFaults.push(inject ? inject(world).clear : () => undefined);
       await world.advanceTo(world.timers.now() + 250);
     }
     await world.advanceTo(9000);
-    mends.forEach((mend) => mend());
+    clearFaults.forEach((clear) => clear());
     await world.advanceTo(16_000);
     expect(world.tallies).to.deep.equal({ lost: 0, doubled: 0, cutOff: 0 });
     const answered = world.traces.filter((trace) => trace.endedAt !== null && !trace.problem);
     expect(answered.length).to.be.above(200);
   });
 
-  it('borrows again step by step after a cut has healed', async () => {
-    // Symptom: a cut heals, and a moment later the other domains stand still.
-    // Sequence: the first domain borrows when it is cut off; callers wait; the cut heals, and all
-    // instances see the other domains free at once.
-    // Cause: the whole lent share is used from the first moment on.
+  it('increases borrowing step by step after a partition heals', async () => {
+    // Guards against stalled domains after a partition. The first domain borrows when it is partitioned,
+    // and its requests queue; when the partition heals, all its instances see the other domains free at
+    // the same time and use the whole lent share at once.
     const load = { requestsPerSecond: BORROWING_RATE, firstDomainShare: 0.9 };
     const world = createWorld((instance) => instance, load);
-    const countAbroad = () =>
+    const countBorrowed = () =>
       world.traces.filter(
         ({ instance, engines, endedAt }) =>
           endedAt === null &&
@@ -74,17 +71,17 @@
           !engines[0].startsWith(world.instances[instance]?.domain ?? ''),
       ).length;
     await world.advanceTo(7000);
-    const before = countAbroad();
-    const cut = RECOVERY_FAULTS['domain-cut']?.(world);
+    const before = countBorrowed();
+    const partition = RECOVERY_FAULTS['domain-cut']?.(world);
     await world.advanceTo(12_000);
-    cut?.clear();
+    partition?.clear();
     await world.advanceTo(16_000);
     expect(before).to.be.above(20);
-    expect(countAbroad()).to.be.below(before / 2);
+    expect(countBorrowed()).to.be.below(before / 2);
     expect(world.tallies).to.deep.equal({ lost: 0, doubled: 0, cutOff: 0 });
   });
 
-  it('notices a token that is doubled and an answer that is cut off', async () => {
+  it('detects a duplicated token and a missing token', async () => {
     const world = createWorld((instance) => ({
       ...instance,
       submit: (spec, sink) =>
--- a/packages/bench/src/__tests__/unit/SoakChecker.test.ts
+++ b/packages/bench/src/__tests__/unit/SoakChecker.test.ts
@@ -20,15 +20,15 @@
   };
 }
 
-function createLife(change: Partial<SoakProcess> = {}): SoakProcess {
+function createProcess(change: Partial<SoakProcess> = {}): SoakProcess {
   const ended = { stopAt: 5000, killAt: null, endedAt: 6000, end: '0' };
   return { id: 'd#0', ...ended, ...change };
 }
 
-function judge(change: Partial<SoakEvidence>): readonly string[] {
+function check(change: Partial<SoakEvidence>): readonly string[] {
   return checkSoak({
     records: [],
-    processes: [createLife()],
+    processes: [createProcess()],
     effects: [],
     passes: [],
     layers: LAYERS,
@@ -42,17 +42,17 @@
   return { request: 'r', attempt: 1, method: 'POST', path: '/receipts', key };
 }
 
-describe('SoakJudge', () => {
-  it('finds nothing in a sound soak', () => {
+describe('SoakChecker', () => {
+  it('reports no violation for a correct soak', () => {
     const records = [
       createRecord(),
       createRecord({ key: 'k' }),
       createRecord({ outcome: SoakOutcome.Refused, run: 'not-run' }),
     ];
-    expect(judge({ records, effects: [createEffect('k')] })).to.deep.equal([]);
+    expect(check({ records, effects: [createEffect('k')] })).to.deep.equal([]);
   });
 
-  it('finds each broken promise', () => {
+  it('reports each kind of violation', () => {
     const cut = createRecord({ outcome: SoakOutcome.Cut });
     const silent = createRecord({ outcome: SoakOutcome.Unanswered });
     const receipt = createRecord({ key: 'k' });
@@ -68,9 +68,9 @@
       ['carried out 2 times', { records: [receipt], effects: ['k', 'k'].map(createEffect) }],
       ['answered and not carried out', { records: [receipt] }],
       ['told "not run" and carried out', { records: [notRun], effects: [createEffect('k')] }],
-      ['daemon ended by itself', { processes: [createLife({ stopAt: null, end: '1' })] }],
-      ['stop took too long', { processes: [createLife({ endedAt: 26_000 })] }],
-      ['stop ended with 1', { processes: [createLife({ end: '1' })] }],
+      ['daemon ended by itself', { processes: [createProcess({ stopAt: null, end: '1' })] }],
+      ['stop took too long', { processes: [createProcess({ endedAt: 26_000 })] }],
+      ['stop ended with 1', { processes: [createProcess({ end: '1' })] }],
       ['revision 3 not in force', { revisions }],
       ['went back to revision 2', { revisions: { told: back, last: [], accepted: 2 } }],
       [
@@ -82,23 +82,23 @@
       ],
     ];
     for (const [name, change] of broken) {
-      const found = judge(change);
+      const found = check(change);
       expect(found, name).to.have.length(1);
       expect(found[0]).to.include(name);
     }
   });
 
-  it('allows what a kill, or a request that crosses a stop, does to a caller', () => {
-    const killed = createLife({ stopAt: null, killAt: 900, endedAt: 910, end: 'SIGKILL' });
+  it('allows connections closed by a kill, and unanswered requests during a stop', () => {
+    const killed = createProcess({ stopAt: null, killAt: 900, endedAt: 910, end: 'SIGKILL' });
     const cut = createRecord({ outcome: SoakOutcome.Cut });
     const silent = createRecord({ outcome: SoakOutcome.Unanswered });
-    expect(judge({ records: [cut, silent], processes: [killed] })).to.deep.equal([]);
-    expect(judge({ records: [{ ...silent, endedAt: 5100 }] })).to.deep.equal([]);
+    expect(check({ records: [cut, silent], processes: [killed] })).to.deep.equal([]);
+    expect(check({ records: [{ ...silent, endedAt: 5100 }] })).to.deep.equal([]);
   });
 });
 
 describe('SoakPlan', () => {
-  it('draws the same for a seed, every kind of fault, in series and together', () => {
+  it('draws the same plan for a seed, with every kind of fault, sequential and overlapping', () => {
     const options = { seed: 5, time: 600_000, daemonsPerDomain: 1 };
     const { faults } = planSoak(options);
     expect(planSoak(options).faults).to.deep.equal(faults);
--- a/packages/bench/src/__tests__/unit/ThroughputBound.test.ts
+++ b/packages/bench/src/__tests__/unit/ThroughputBound.test.ts
@@ -4,12 +4,12 @@
 import type { BenchShape } from '../../ThroughputShapes.js';
 import { BENCH_ACTIVATION_BYTES, createBenchShapes } from '../../ThroughputShapes.js';
 
-/** Two stages of two engines in two racks, with work whose prompts are cached whole. */
+/** Two stages of two engines each in two racks, with a workload whose prompts are fully cached. */
 function createTinyShape(): BenchShape {
   const [shape] = createBenchShapes();
   const [model] = shape?.engines ?? [];
   if (!shape || !model) {
-    throw new Error('there is a shape with engines');
+    throw new Error('the bench has no shape with engines');
   }
   const engine = (rack: string, first: number, decode: number) => ({
     facts: { ...model.facts, id: `${rack}-${first}`, rack, decodeLayerTokensPerSecond: decode },
@@ -34,16 +34,16 @@
 }
 
 describe('ThroughputBound', () => {
-  it('is the smallest cut of engines and links', () => {
+  it('equals the minimum cut of engines and links', () => {
     const shape = createTinyShape();
-    // Stage one makes 100 + 20 tokens a second, stage two 40 + 90.
+    // Stage one computes 100 + 20 tokens per second, stage two 40 + 90.
     expect(computeBound(shape, () => Infinity)).to.be.closeTo(120, 0.01);
     expect(computeBound(shape, () => 30 * BENCH_ACTIVATION_BYTES)).to.be.closeTo(90, 0.01);
     expect(computeBound(shape, () => 0)).to.be.closeTo(60, 0.01);
   });
 
-  // Symptom: a change to the choice of chains lost a tenth of the throughput, and no check said so.
-  // Cause: the bench is run by hand. This is a short run of its smallest shape; bounds are loose.
+  // Guards against a change to chain selection that loses a tenth of the throughput unnoticed: the whole
+  // bench is only run by hand. This is a short run of its smallest shape; bounds are loose.
   it('stays near the bound, above the best baseline, with each layer run once in order', () => {
     const [line] = runThroughputBench({
       seed: 1,
--- a/packages/proof/src/HistoryCallers.ts
+++ b/packages/proof/src/HistoryCallers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of a history. They send requests, resend with the same key where that is safe, hang up when
- * told to, and record all that they hear.
+ * Simulated callers. They send requests, resend with the same key where that is safe, hang up when a
+ * fault requires it, and record everything that they receive.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
@@ -20,23 +20,28 @@
 export interface CallersOptions {
   readonly timers: TimerService;
   readonly record: (event: HistoryEvent) => void;
-  /** Instances to which the balancer gives requests now. */
+  /** Instances that the load balancer currently sends requests to. */
   readonly listReady: () => readonly HistoryInstance[];
 }
 
-/** The callers, as the runner of a history sees them. */
+/** The callers' interface for the runner of a history. */
 export interface HistoryCallers {
   send(request: HistoryRequest): void;
+  /** Sends a request whose prompt crashes the engine that computes it. */
   sendPoison(instance: number): void;
-  /** A caller sends a request with a key again, to another instance, without waiting. */
+  /**
+   * Resends a request with an idempotency key without waiting for its earlier sends to end. `target`
+   * selects the request and the instance.
+   */
   resendOne(target: number): void;
+  /** Cancels one open request; its caller receives nothing more. */
   hangUpOne(target: number): void;
-  /** An instance died: its callers' connections break. */
+  /** Breaks the connections of a killed instance's callers, who resend where that is safe. */
   noteKilled(instance: InstanceId): void;
 }
 
-/** What one caller wants, over all its resends. */
-interface Order {
+/** What a caller requests, shared by the first send and all resends. */
+interface LogicalRequest {
   readonly name: string;
   readonly work: HistoryRequestKindName;
   readonly prompt: string;
@@ -45,69 +50,69 @@
   readonly mostSends: number;
 }
 
-/** A request under way. */
+/** One send of a logical request. */
 interface OpenRequest {
-  readonly order: Order;
+  readonly logical: LogicalRequest;
+  /** Selects the instance among the ready ones; a resend after a failure uses the next value. */
   readonly place: number;
   readonly instance: HistoryInstance;
   readonly id: string;
   handle: RequestHandle | null;
-  /** The caller has heard how it ended; it stays listed, so that a second ending would be seen. */
+  /** The caller got an ending. The request stays in the map so that a second ending is recorded too. */
   isEnded: boolean;
 }
 
-/** Prompts that start so crash the engine that first computes them. */
+/** Prompts with this prefix crash the engine that first computes them. */
 export const HISTORY_POISON_PREFIX = 'poison';
 
-const KEYED: ReadonlySet<HistoryRequestKindName> = new Set([
+const KEYED_KINDS: ReadonlySet<HistoryRequestKindName> = new Set([
   HistoryRequestKind.KeyedModel,
   HistoryRequestKind.KeyedWrite,
 ]);
-const ONCE: ReadonlySet<HistoryRequestKindName> = new Set([
+const NON_IDEMPOTENT_KINDS: ReadonlySet<HistoryRequestKindName> = new Set([
   HistoryRequestKind.KeyedModel,
   HistoryRequestKind.OnceModel,
   HistoryRequestKind.KeyedWrite,
   HistoryRequestKind.OnceWrite,
 ]);
-const SERVICE: ReadonlySet<HistoryRequestKindName> = new Set([
+const SERVICE_KINDS: ReadonlySet<HistoryRequestKindName> = new Set([
   HistoryRequestKind.Read,
   HistoryRequestKind.KeyedWrite,
   HistoryRequestKind.OnceWrite,
 ]);
-const MOST_SENDS = 3;
-const POISON_SENDS = 6;
+const MAX_SENDS = 3;
+const MAX_POISON_SENDS = 6;
 const RESEND_DELAY: Millis = 50;
-const MOST_WAIT: Millis = 1000;
+const MAX_RESEND_DELAY: Millis = 1000;
 const BALANCER_RETRY: Millis = 200;
 const TEAM = 'schools';
 
-/** Creates callers that have sent nothing yet. */
 export function createHistoryCallers(options: CallersOptions): HistoryCallers {
   const { timers, record, listReady } = options;
   const open = new Map<string, OpenRequest>();
-  const orders: Order[] = [];
+  const logicalRequests: LogicalRequest[] = [];
   const sends = new Map<string, number>();
 
-  function countSend(order: Order): number {
-    const count = (sends.get(order.name) ?? 0) + 1;
-    sends.set(order.name, count);
+  function countSend(logical: LogicalRequest): number {
+    const count = (sends.get(logical.name) ?? 0) + 1;
+    sends.set(logical.name, count);
     return count;
   }
 
-  function send(order: Order, place: number): void {
+  function send(logical: LogicalRequest, place: number): void {
     const ready = listReady();
     const instance = ready[place % Math.max(1, ready.length)];
     const now = timers.now();
-    if (now >= order.deadline) {
+    if (now >= logical.deadline) {
       return;
     }
     if (!instance) {
-      timers.registerTimeout(BALANCER_RETRY, () => send(order, place));
+      timers.registerTimeout(BALANCER_RETRY, () => send(logical, place));
       return;
     }
-    const id = `${order.name}.${countSend(order)}`;
-    const isService = SERVICE.has(order.work);
-    const request: OpenRequest = { order, place, instance, id, handle: null, isEnded: false };
+    const id = `${logical.name}.${countSend(logical)}`;
+    const isService = SERVICE_KINDS.has(logical.work);
+    const request: OpenRequest = { logical, place, instance, id, handle: null, isEnded: false };
     open.set(id, request);
     record({
       kind: 'submitted',
@@ -115,25 +120,25 @@
       request: id,
       instance: instance.self.id,
       work: isService ? 'service' : 'model',
-      key: getKey(order),
-      idempotent: !ONCE.has(order.work),
-      expected: createExpected(order),
+      key: getKey(logical),
+      idempotent: !NON_IDEMPOTENT_KINDS.has(logical.work),
+      expected: createExpected(logical),
       promptTokens: HISTORY_PROMPT_TOKENS,
       layerCount: HISTORY_LAYERS,
-      deadline: order.deadline,
+      deadline: logical.deadline,
     });
     request.handle = isService ? submitService(request) : submitModel(request);
   }
 
-  /** Runs what a caller does if its connection still stands. */
-  function hear({ instance, id }: OpenRequest, take: () => void): void {
+  /** Runs a caller's reaction to an event unless its connection broke or it hung up. */
+  function runIfConnected({ instance, id }: OpenRequest, action: () => void): void {
     if (!instance.isDead() && open.has(id)) {
-      take();
+      action();
     }
   }
 
   function submitModel(request: OpenRequest): RequestHandle {
-    const { order, id, instance } = request;
+    const { logical, id, instance } = request;
     return instance.router.submit(
       {
         id,
@@ -141,51 +146,51 @@
         model: HISTORY_VARIANT.model,
         variant: HISTORY_VARIANT,
         layerCount: HISTORY_LAYERS,
-        prompt: order.prompt,
+        prompt: logical.prompt,
         promptTokens: HISTORY_PROMPT_TOKENS,
-        maxTokens: order.tokens,
+        maxTokens: logical.tokens,
         priority: 'normal',
-        deadline: order.deadline,
-        idempotencyKey: getKey(order),
-        idempotent: !ONCE.has(order.work),
+        deadline: logical.deadline,
+        idempotencyKey: getKey(logical),
+        idempotent: !NON_IDEMPOTENT_KINDS.has(logical.work),
         prefixKeys: [],
       },
       {
         onStart: () => undefined,
         onToken: (index, token) =>
-          hear(request, () =>
+          runIfConnected(request, () =>
             record({ kind: 'token', at: timers.now(), request: id, index, token }),
           ),
-        onEnd: () => hear(request, () => finish(request)),
-        onError: (problem) => hear(request, () => fail(request, problem)),
+        onEnd: () => runIfConnected(request, () => finish(request)),
+        onError: (problem) => runIfConnected(request, () => fail(request, problem)),
       },
     );
   }
 
   function submitService(request: OpenRequest): RequestHandle {
-    const { order, id, instance } = request;
+    const { logical, id, instance } = request;
     return instance.router.submitService(
       {
         id,
         team: TEAM,
         service: HISTORY_SERVICE,
-        method: ONCE.has(order.work) ? 'POST' : 'GET',
+        method: NON_IDEMPOTENT_KINDS.has(logical.work) ? 'POST' : 'GET',
         path: '/receipts',
         headers: {},
-        body: new TextEncoder().encode(order.prompt),
+        body: new TextEncoder().encode(logical.prompt),
         priority: 'normal',
-        deadline: order.deadline,
-        idempotencyKey: getKey(order),
-        idempotent: !ONCE.has(order.work),
+        deadline: logical.deadline,
+        idempotencyKey: getKey(logical),
+        idempotent: !NON_IDEMPOTENT_KINDS.has(logical.work),
       },
       {
         onAnswer: ({ body }) =>
-          hear(request, () => {
+          runIfConnected(request, () => {
             const token = new TextDecoder().decode(body);
             record({ kind: 'token', at: timers.now(), request: id, index: 0, token });
             finish(request);
           }),
-        onError: (problem) => hear(request, () => fail(request, problem)),
+        onError: (problem) => runIfConnected(request, () => fail(request, problem)),
       },
     );
   }
@@ -196,7 +201,7 @@
   }
 
   function fail(request: OpenRequest, problem: RequestProblem): void {
-    const { order, place, id } = request;
+    const { logical, place, id } = request;
     request.isEnded = true;
     record({
       kind: 'failed',
@@ -205,17 +210,21 @@
       problem: problem.kind,
       run: problem.run,
     });
-    const isPoison = order.prompt.startsWith(HISTORY_POISON_PREFIX);
-    const maySendAgain = isPoison || problem.run === 'not-run' || getKey(order) !== null;
-    if (maySendAgain && (sends.get(order.name) ?? 0) < order.mostSends) {
-      const wait = Math.min(MOST_WAIT, Math.max(RESEND_DELAY, problem.retryAfter ?? 0));
-      timers.registerTimeout(wait, () => send(order, place + 1));
+    const isPoison = logical.prompt.startsWith(HISTORY_POISON_PREFIX);
+    const canResend = isPoison || problem.run === 'not-run' || getKey(logical) !== null;
+    if (canResend && (sends.get(logical.name) ?? 0) < logical.mostSends) {
+      const wait = Math.min(MAX_RESEND_DELAY, Math.max(RESEND_DELAY, problem.retryAfter ?? 0));
+      timers.registerTimeout(wait, () => send(logical, place + 1));
     }
   }
 
-  function addOrder(request: HistoryRequest, prompt: string | null, mostSends: number): Order {
-    const name = `${request.work}-${orders.length}`;
-    const order: Order = {
+  function addLogicalRequest(
+    request: HistoryRequest,
+    prompt: string | null,
+    mostSends: number,
+  ): LogicalRequest {
+    const name = `${request.work}-${logicalRequests.length}`;
+    const logical: LogicalRequest = {
       name,
       work: request.work,
       prompt: prompt ?? name,
@@ -223,22 +232,22 @@
       deadline: timers.now() + HISTORY_DEADLINE,
       mostSends,
     };
-    orders.push(order);
-    return order;
+    logicalRequests.push(logical);
+    return logical;
   }
 
   return {
-    send: (request) => send(addOrder(request, null, MOST_SENDS), request.instance),
+    send: (request) => send(addLogicalRequest(request, null, MAX_SENDS), request.instance),
     sendPoison(instance) {
-      const prompt = `${HISTORY_POISON_PREFIX}-${orders.length}`;
+      const prompt = `${HISTORY_POISON_PREFIX}-${logicalRequests.length}`;
       const request = { work: HistoryRequestKind.Model, at: timers.now(), tokens: 8, instance };
-      send(addOrder(request, prompt, POISON_SENDS), instance);
+      send(addLogicalRequest(request, prompt, MAX_POISON_SENDS), instance);
     },
     resendOne(target) {
-      const keyed = orders.filter(({ work }) => KEYED.has(work));
-      const order = keyed[target % Math.max(1, keyed.length)];
-      if (order) {
-        send(order, target);
+      const keyed = logicalRequests.filter(({ work }) => KEYED_KINDS.has(work));
+      const logical = keyed[target % Math.max(1, keyed.length)];
+      if (logical) {
+        send(logical, target);
       }
     },
     hangUpOne(target) {
@@ -254,28 +263,28 @@
       [...open.values()]
         .filter((request) => request.instance.self.id === instance)
         .forEach((request) => {
-          const { order, place, id } = request;
+          const { logical, place, id } = request;
           open.delete(id);
-          const isSafe = !ONCE.has(order.work) || getKey(order) !== null;
-          if (!request.isEnded && isSafe && (sends.get(order.name) ?? 0) < order.mostSends) {
-            timers.registerTimeout(RESEND_DELAY, () => send(order, place + 1));
+          const isSafe = !NON_IDEMPOTENT_KINDS.has(logical.work) || getKey(logical) !== null;
+          if (!request.isEnded && isSafe && (sends.get(logical.name) ?? 0) < logical.mostSends) {
+            timers.registerTimeout(RESEND_DELAY, () => send(logical, place + 1));
           }
         });
     },
   };
 }
 
-function getKey({ name, work }: Order): string | null {
-  return KEYED.has(work) ? name : null;
+function getKey({ name, work }: LogicalRequest): string | null {
+  return KEYED_KINDS.has(work) ? name : null;
 }
 
-function createExpected({ work, prompt, tokens }: Order): readonly string[] {
-  return SERVICE.has(work)
+function createExpected({ work, prompt, tokens }: LogicalRequest): readonly string[] {
+  return SERVICE_KINDS.has(work)
     ? [prompt]
     : Array.from({ length: tokens }, (_, i) => createHistoryToken(prompt, i));
 }
 
-/** The right token at a place of the answer to a prompt. */
+/** Returns the correct token at an index of the answer to a prompt. */
 export function createHistoryToken(prompt: string, index: number): string {
   return `${prompt}:${index} `;
 }
--- a/packages/proof/src/HistoryChecker.ts
+++ b/packages/proof/src/HistoryChecker.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a recorded history by what must always hold. It knows nothing of the router: it reads what
- * callers, engines, services and instances did, so that a fault of the router cannot hide in it.
+ * Checks a recorded history against the invariants of the system. It does not use the router:
+ * it reads only what callers, engines, services and instances did, so a bug of the router cannot hide itself.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { checkConfigRules } from './HistoryConfigRules.js';
@@ -10,12 +10,12 @@
 import { HistoryRule } from './HistoryTypes.js';
 import { checkWorkRules } from './HistoryWorkRules.js';
 
-/** A caller that stayed hears the end of its request by its deadline and this much more. */
+/** A caller that does not hang up gets the end of its request at most this long after the deadline. */
 const DEADLINE_SLACK: Millis = 500;
-/** Time in which a request that was given up reaches its caller. */
-const AT_ONCE: Millis = 20;
+/** Longest time between the router giving up on a request and its caller receiving the failure. */
+const FAILURE_DELIVERY_LIMIT: Millis = 20;
 
-/** All that a history breaks; empty if it holds. */
+/** Returns all violations of a history; empty if it satisfies every rule. */
 export function checkHistory(events: readonly HistoryEvent[]): readonly HistoryViolation[] {
   const index = createHistoryIndex(events);
   return [
@@ -30,71 +30,74 @@
   ];
 }
 
-/** Exactly one answer or error to a caller that stayed, in time, and nothing after it. */
+/** A caller that does not hang up gets exactly one answer or error, in time, and nothing after it. */
 function checkOneAnswer(request: RequestHistory, endAt: Millis): readonly HistoryViolation[] {
   const { submitted, endings, tokens, hungUpAt, killedAt } = request;
-  const fail = (detail: string): HistoryViolation => ({
+  const createViolation = (detail: string): HistoryViolation => ({
     rule: HistoryRule.OneAnswer,
     detail: `${submitted.request}: ${detail}`,
   });
   const [ending] = endings;
   if (endings.length > 1) {
-    return [fail(`${endings.length} endings`)];
+    return [createViolation(`${endings.length} endings`)];
   }
   if (!ending) {
-    const hasStayed = hungUpAt === null && killedAt === null;
+    const isWaiting = hungUpAt === null && killedAt === null;
     const isDue = endAt > submitted.deadline + DEADLINE_SLACK;
-    return hasStayed && isDue ? [fail('no ending')] : [];
+    return isWaiting && isDue ? [createViolation('no ending')] : [];
   }
   if (hungUpAt === null && ending.at > submitted.deadline + DEADLINE_SLACK) {
-    return [fail(`ended at ${ending.at}, its deadline was ${submitted.deadline}`)];
+    return [createViolation(`ended at ${ending.at}, its deadline was ${submitted.deadline}`)];
   }
-  return tokens.some(({ at }) => at > ending.at) ? [fail('a token after its ending')] : [];
+  return tokens.some(({ at }) => at > ending.at)
+    ? [createViolation('a token after its ending')]
+    : [];
 }
 
-/** Tokens from 0, in order, each the right one; and all of them, if the answer is called whole. */
+/** Tokens arrive in order from index 0, each is correct, and an answer reported as complete has all. */
 function checkWholeAnswer(request: RequestHistory): readonly HistoryViolation[] {
   const { submitted, tokens, endings } = request;
-  const fail = (detail: string): HistoryViolation => ({
+  const createViolation = (detail: string): HistoryViolation => ({
     rule: HistoryRule.WholeAnswer,
     detail: `${submitted.request}: ${detail}`,
   });
-  const whole = submitted.expected.join('');
+  const completeAnswer = submitted.expected.join('');
   const isAnswered = endings[0]?.kind === 'answered';
-  // An answer that was held comes as one piece.
-  if (isAnswered && tokens.length === 1 && tokens[0]?.token === whole) {
+  // A stored answer is delivered as a single token.
+  if (isAnswered && tokens.length === 1 && tokens[0]?.token === completeAnswer) {
     return [];
   }
-  const wrong = tokens.findIndex(
+  const wrongIndex = tokens.findIndex(
     ({ index, token }, i) => index !== i || token !== submitted.expected[i],
   );
-  if (wrong >= 0) {
-    const { index, token } = tokens[wrong] ?? {};
-    return [fail(`token ${wrong} came as ${index} "${token}"`)];
+  if (wrongIndex >= 0) {
+    const { index, token } = tokens[wrongIndex] ?? {};
+    return [createViolation(`token ${wrongIndex} came as ${index} "${token}"`)];
   }
   return isAnswered && tokens.length !== submitted.expected.length
-    ? [fail(`${tokens.length} of ${submitted.expected.length} tokens, called whole`)]
+    ? [createViolation(`${tokens.length} of ${submitted.expected.length} tokens, called whole`)]
     : [];
 }
 
-/** A request that the router gave up on is not left waiting. */
+/** Once the router gives up on a request, its caller gets the failure at once. */
 function checkAnsweredAtOnce(request: RequestHistory, endAt: Millis): readonly HistoryViolation[] {
   const { submitted, endings, givenUpAt, hungUpAt, killedAt } = request;
   if (givenUpAt === null || hungUpAt !== null || killedAt !== null) {
     return [];
   }
-  const heardAt = endings[0]?.at ?? Infinity;
-  return heardAt > givenUpAt + AT_ONCE && endAt > givenUpAt + AT_ONCE
+  const deliveredAt = endings[0]?.at ?? Infinity;
+  return deliveredAt > givenUpAt + FAILURE_DELIVERY_LIMIT &&
+    endAt > givenUpAt + FAILURE_DELIVERY_LIMIT
     ? [
         {
           rule: HistoryRule.AnsweredAtOnce,
-          detail: `${submitted.request}: given up at ${givenUpAt}, told at ${heardAt}`,
+          detail: `${submitted.request}: given up at ${givenUpAt}, told at ${deliveredAt}`,
         },
       ]
     : [];
 }
 
-/** What an instance was working on when it was told to stop ends as it would have. */
+/** A planned stop of an instance does not interrupt the requests in progress there. */
 function checkPlannedStops({ requests, events }: HistoryIndex): readonly HistoryViolation[] {
   return selectEvents(events, 'instance-stopping').flatMap((stop) => {
     const stopped = selectEvents(events, 'instance-stopped').find(
@@ -109,10 +112,10 @@
         killedAt === null,
     );
     return open.flatMap(({ submitted, endings: [ending] }) => {
-      const isCut =
+      const isInterrupted =
         (ending?.kind === 'failed' && ending.problem === 'draining') ||
         (stopped !== undefined && (ending?.at ?? Infinity) > stopped.at);
-      return isCut
+      return isInterrupted
         ? [
             {
               rule: HistoryRule.PlannedStop,
--- a/packages/proof/src/HistoryConditions.ts
+++ b/packages/proof/src/HistoryConditions.ts
@@ -1,4 +1,4 @@
-/** Which faults of a schedule are active now, and what they cut. */
+/** Tracks which faults of a schedule are active, and what they affect. */
 import type { DomainId, EngineId, InstanceId } from '@skylarksail/core/CoreTypes';
 import type { HistoryFault, HistoryFaultName } from './HistoryPlan.js';
 import {
@@ -10,26 +10,28 @@
   HistoryFaultKind,
 } from './HistoryPlan.js';
 
-/** The faults of the moment. */
+/** The currently active faults. */
 export interface HistoryConditions {
   begin(fault: HistoryFault): void;
   end(fault: HistoryFault): void;
   has(kind: HistoryFaultName): boolean;
-  /** Whether such a fault strikes an engine, or an instance, now. */
+  /** Whether a fault of this kind currently targets the engine. */
   affectsEngine(kind: HistoryFaultName, engine: EngineId): boolean;
+  /** Whether a fault of this kind currently targets the instance. */
   affectsInstance(kind: HistoryFaultName, instance: InstanceId): boolean;
+  /** Whether the network between the domain and all other domains is cut. */
   isDomainCut(domain: DomainId): boolean;
-  /** Whether nothing passes between two domains. */
+  /** Whether the network between two domains is cut. */
   arePartitioned(a: DomainId, b: DomainId): boolean;
 }
 
-/** The domain of an engine or of a plain service's server. */
+/** Returns the domain of an engine or of a plain service's server. */
 export function getServerDomain(server: EngineId): DomainId {
   const known = HISTORY_ENGINES.find(({ facts }) => facts.id === server);
   return known?.facts.domain ?? server.split('/')[1] ?? '';
 }
 
-/** Creates a time without faults. */
+/** Creates a tracker with no active faults. */
 export function createHistoryConditions(): HistoryConditions {
   const active = new Set<HistoryFault>();
 
@@ -58,12 +60,12 @@
   };
 }
 
-/** The domain that a cut separates. */
+/** Returns the domain that a domain-cut fault isolates. */
 export function getCutDomain({ target }: HistoryFault): DomainId {
   return HISTORY_DOMAINS[target % HISTORY_DOMAINS.length] ?? '';
 }
 
-/** Whether a cut lies between an instance and an engine or server. */
+/** Whether an instance cannot reach an engine or a service's server because of a domain cut. */
 export function isServerCut(
   conditions: HistoryConditions,
   instance: InstanceId,
--- a/packages/proof/src/HistoryFaults.ts
+++ b/packages/proof/src/HistoryFaults.ts
@@ -1,4 +1,4 @@
-/** Brings the faults of a schedule about, and mends them. */
+/** Injects the faults of a schedule and ends them. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { StoreFaults } from '@skylarksail/store/FakeStore';
 import type { VirtualFault } from '@skylarksail/stand-ins/VirtualEngine';
@@ -15,16 +15,16 @@
 } from './HistoryPlan.js';
 import type { HistoryProcess, HistoryWorld } from './HistoryWorld.js';
 
-/** Name under which the operators' pipeline calls the platform. */
+/** Client name of the operators' pipeline on the platform. */
 export const HISTORY_PIPELINE = 'pipeline';
 
 const SLOW_FACTOR = 12;
-const LINK_FACTOR = 300;
-const LATE_BY: Millis = 2000;
-const FAULT_SHARE = 0.4;
+const SLOW_LINK_FACTOR = 300;
+const LATE_WRITE_DELAY: Millis = 2000;
+const FAULT_PROBABILITY = 0.4;
 const BALANCER_LAG: Millis = 300;
 const DRAIN_LIMIT: Millis = 15_000;
-const REACH_LAG: Millis = 800;
+const REACHABILITY_DELAY: Millis = 800;
 const RESTART_PERIOD: Millis = 1000;
 
 const ENGINE_FAULTS: readonly (readonly [HistoryFaultName, VirtualFault])[] = [
@@ -33,29 +33,29 @@
   [HistoryFaultKind.EngineSlow, { kind: 'slow', factor: SLOW_FACTOR }],
 ];
 
-/** Faults that the configuration's spread suffers from, and for how long after they end. */
+/** Faults that delay the fan-out of the configuration, and how long after their end they still do. */
 const CONFIG_FAULTS: ReadonlyMap<HistoryFaultName, Millis> = new Map([
   [HistoryFaultKind.StoreOutage, 0],
   [HistoryFaultKind.LostAnswers, 0],
-  [HistoryFaultKind.LateWrites, LATE_BY],
+  [HistoryFaultKind.LateWrites, LATE_WRITE_DELAY],
   [HistoryFaultKind.DomainCut, 0],
   [HistoryFaultKind.InstanceKill, 0],
   [HistoryFaultKind.PlannedStop, 0],
 ]);
 
-/** Lets each fault begin and end in its time. */
+/** Schedules the start and the end of each fault. */
 export function scheduleFaults(world: HistoryWorld, faults: readonly HistoryFault[]): void {
   const { timers } = world;
   let failing = 0;
-  function changeFailing(by: number): void {
+  function adjustFailingCount(by: number): void {
     failing += by;
     world.record({ kind: 'config-fault', at: timers.now(), isFailing: failing > 0 });
   }
   for (const fault of faults) {
-    const after = CONFIG_FAULTS.get(fault.kind);
+    const recoveryDelay = CONFIG_FAULTS.get(fault.kind);
     timers.registerTimeout(fault.at, () => {
-      if (after !== undefined) {
-        changeFailing(1);
+      if (recoveryDelay !== undefined) {
+        adjustFailingCount(1);
       }
       world.conditions.begin(fault);
       beginFault(world, fault);
@@ -63,8 +63,8 @@
     timers.registerTimeout(fault.at + fault.duration, () => {
       world.conditions.end(fault);
       endFault(world, fault);
-      if (after !== undefined) {
-        timers.registerTimeout(after, () => changeFailing(-1));
+      if (recoveryDelay !== undefined) {
+        timers.registerTimeout(recoveryDelay, () => adjustFailingCount(-1));
       }
     });
   }
@@ -114,7 +114,7 @@
   }
 }
 
-/** A replacement starts once the old process is gone. */
+/** Starts a replacement once the old process has ended. */
 function replaceProcess(world: HistoryWorld, target: number): void {
   const member = getHistoryMember(target);
   if (world.processes.has(member.id)) {
@@ -126,7 +126,7 @@
   }
 }
 
-/** As on SIGTERM: serve through the balancer's lag, finish what runs, end. */
+/** Stops a process as on SIGTERM: it serves until the load balancer has noticed, drains, then ends. */
 function stopProcess(world: HistoryWorld, id: string): void {
   const { timers, processes } = world;
   const stopping = processes.get(id);
@@ -148,7 +148,7 @@
   });
 }
 
-/** Sets engines and the platform to what all active faults together come to. */
+/** Sets the faults of engines and of the platform to the combination of all active faults. */
 function applyConditions(world: HistoryWorld, fault: HistoryFault): void {
   const { conditions, engines, manifests, platform, timers } = world;
   const engine = getHistoryEngine(fault.target).id;
@@ -159,7 +159,7 @@
   if (fault.kind === HistoryFaultKind.DomainCut) {
     const domain = getCutDomain(fault);
     manifests.setPartitioned(domain, conditions.isDomainCut(domain));
-    timers.registerTimeout(REACH_LAG, () => tellReach(world));
+    timers.registerTimeout(REACHABILITY_DELAY, () => updateDomainReachability(world));
   }
   HISTORY_MEMBERS.forEach(({ id, domain }) =>
     platform.setFaults(getPlatformFaults(world, conditions.isDomainCut(domain)), id),
@@ -170,14 +170,14 @@
 function getPlatformFaults({ conditions }: HistoryWorld, isCut: boolean): Partial<StoreFaults> {
   return {
     outage: isCut || conditions.has(HistoryFaultKind.StoreOutage),
-    lostAnswers: conditions.has(HistoryFaultKind.LostAnswers) ? FAULT_SHARE : 0,
-    lateEffects: conditions.has(HistoryFaultKind.LateWrites) ? FAULT_SHARE : 0,
-    lateDelay: LATE_BY,
+    lostAnswers: conditions.has(HistoryFaultKind.LostAnswers) ? FAULT_PROBABILITY : 0,
+    lateEffects: conditions.has(HistoryFaultKind.LateWrites) ? FAULT_PROBABILITY : 0,
+    lateDelay: LATE_WRITE_DELAY,
   };
 }
 
-/** Membership's word on which domains can be reached. */
-function tellReach({ processes, conditions }: HistoryWorld): void {
+/** Reports to each instance which domains are reachable, as membership does. */
+function updateDomainReachability({ processes, conditions }: HistoryWorld): void {
   processes.forEach(({ instance }) =>
     HISTORY_DOMAINS.filter((domain) => domain !== instance.self.domain).forEach((domain) =>
       instance.setDomainReach(domain, !conditions.arePartitioned(domain, instance.self.domain)),
@@ -190,16 +190,16 @@
   from: string,
   to: string,
 ): VirtualLinkFault | null {
-  const strikes = (kind: HistoryFaultName): boolean =>
+  const affectsLink = (kind: HistoryFaultName): boolean =>
     conditions.affectsEngine(kind, from) || conditions.affectsEngine(kind, to);
   const [a = '', b = ''] = [from, to].map((id) => id.split('-')[0]);
-  if (strikes(HistoryFaultKind.LinkCut) || conditions.arePartitioned(a, b)) {
+  if (affectsLink(HistoryFaultKind.LinkCut) || conditions.arePartitioned(a, b)) {
     return { cut: true };
   }
-  return strikes(HistoryFaultKind.LinkSlow) ? { factor: LINK_FACTOR } : null;
+  return affectsLink(HistoryFaultKind.LinkSlow) ? { factor: SLOW_LINK_FACTOR } : null;
 }
 
-/** An engine that a poison request crashed comes back, as its supervisor starts it again. */
+/** Restarts engines that a poison request crashed, as their supervisor does. */
 function restartEngines({ engines, conditions }: HistoryWorld): void {
   HISTORY_ENGINES.map(({ facts }) => facts.id)
     .filter(
--- a/packages/proof/src/HistoryFrames.ts
+++ b/packages/proof/src/HistoryFrames.ts
@@ -1,4 +1,4 @@
-/** Calls from an instance to engines whose frames get lost, repeated, late, out of order or garbled. */
+/** Calls from an instance to engines whose frames are lost, repeated, delayed, reordered or corrupted. */
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -7,79 +7,82 @@
 import type { HistoryFaultName } from './HistoryPlan.js';
 import { HistoryFaultKind } from './HistoryPlan.js';
 
-export interface FrameOptions {
+export interface FaultyCallOptions {
   readonly open: OpenEngineCall;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Faults of this instance's frames now. */
+  /** Whether a fault of this kind currently affects the instance's frames. */
   readonly hasFault: (kind: HistoryFaultName) => boolean;
-  /** Whether nothing passes between the instance and the engine now. */
+  /** Whether the instance currently cannot reach the engine. */
   readonly isCut: (engine: string) => boolean;
   readonly onFrame: (request: string, attempt: number, index: number) => void;
 }
 
-const LATE_BY: Millis = 300;
-const FAULT_SHARE = 0.2;
+const FRAME_DELAY: Millis = 300;
+const FAULT_PROBABILITY = 0.2;
 
-/** Opens calls whose frames suffer the faults of the moment. */
-export function createFaultyCalls(options: FrameOptions): OpenEngineCall {
+/** Wraps calls to engines and applies the currently active faults to their frames. */
+export function createFaultyCalls(options: FaultyCallOptions): OpenEngineCall {
   const { timers, random, hasFault, isCut, onFrame } = options;
 
   return (call, listener) => {
-    const first = call.chain.stages[0]?.engine ?? '';
+    const firstEngine = call.chain.stages[0]?.engine ?? '';
     let held: readonly [number, string] | null = null;
-    let isOver = false;
+    let hasEnded = false;
     let cancel: () => void = () => undefined;
 
-    /** Carries a frame, late or not at all; a frame under way outlives the call that it belongs to. */
-    function carry(arrive: () => void): void {
-      if (isCut(first)) {
+    /**
+     * Delivers a frame at once, or late, or drops it if the engine is cut off. A delayed frame is
+     * delivered even after its call ended.
+     */
+    function deliver(onArrival: () => void): void {
+      if (isCut(firstEngine)) {
         return;
       }
       if (hasFault(HistoryFaultKind.FramesLate)) {
-        timers.registerTimeout(LATE_BY, arrive);
+        timers.registerTimeout(FRAME_DELAY, onArrival);
       } else {
-        arrive();
+        onArrival();
       }
     }
 
-    function draw(kind: HistoryFaultName): boolean {
-      return hasFault(kind) && random.nextFloat() < FAULT_SHARE;
+    function shouldInject(kind: HistoryFaultName): boolean {
+      return hasFault(kind) && random.nextFloat() < FAULT_PROBABILITY;
     }
 
-    function giveToken(index: number, token: string): void {
-      carry(() => {
+    function deliverToken(index: number, token: string): void {
+      deliver(() => {
         onFrame(call.request, call.attempt, index);
         listener.onToken(index, token);
       });
     }
 
-    function flush(): void {
+    function flushHeldToken(): void {
       if (held) {
-        giveToken(...held);
+        deliverToken(...held);
         held = null;
       }
     }
 
-    function end(arrive: () => void): void {
-      if (!isOver) {
-        isOver = true;
-        flush();
-        carry(arrive);
+    function end(onArrival: () => void): void {
+      if (!hasEnded) {
+        hasEnded = true;
+        flushHeldToken();
+        deliver(onArrival);
       }
     }
 
-    const wrapped: EngineCallListener = {
+    const faultyListener: EngineCallListener = {
       onAcknowledged(acknowledgement) {
-        const isWrong = draw(HistoryFaultKind.WrongAcknowledgement);
+        const isWrong = shouldInject(HistoryFaultKind.WrongAcknowledgement);
         const stages = isWrong ? acknowledgement.stages.slice(1) : acknowledgement.stages;
-        carry(() => listener.onAcknowledged({ ...acknowledgement, stages }));
+        deliver(() => listener.onAcknowledged({ ...acknowledgement, stages }));
       },
       onToken(index, token) {
-        if (isOver || draw(HistoryFaultKind.FramesLost)) {
+        if (hasEnded || shouldInject(HistoryFaultKind.FramesLost)) {
           return;
         }
-        if (draw(HistoryFaultKind.FramesGarbage)) {
+        if (shouldInject(HistoryFaultKind.FramesGarbage)) {
           end(() =>
             listener.onFailure({
               place: FailurePlace.Garbage,
@@ -92,24 +95,24 @@
           cancel();
           return;
         }
-        if (!held && draw(HistoryFaultKind.FramesReordered)) {
+        if (!held && shouldInject(HistoryFaultKind.FramesReordered)) {
           held = [index, token];
           return;
         }
-        giveToken(index, token);
-        flush();
-        if (draw(HistoryFaultKind.FramesRepeated)) {
-          giveToken(index, token);
+        deliverToken(index, token);
+        flushHeldToken();
+        if (shouldInject(HistoryFaultKind.FramesRepeated)) {
+          deliverToken(index, token);
         }
       },
       onEnd: (reason, count) => end(() => listener.onEnd(reason, count)),
       onFailure: (failure) => end(() => listener.onFailure(failure)),
     };
-    if (!isCut(first)) {
-      cancel = options.open(call, wrapped);
+    if (!isCut(firstEngine)) {
+      cancel = options.open(call, faultyListener);
     }
     return () => {
-      if (!isCut(first)) {
+      if (!isCut(firstEngine)) {
         cancel();
       }
     };
--- a/packages/proof/src/HistoryIndex.ts
+++ b/packages/proof/src/HistoryIndex.ts
@@ -1,11 +1,11 @@
-/** A history sorted by what its events are about, so that each rule reads only what it needs. */
+/** Groups the events of a history by request, so that each rule reads only what it needs. */
 import type { InstanceId, Millis, RequestId } from '@skylarksail/core/CoreTypes';
 import type { HistoryEvent, SubmittedEvent } from './HistoryTypes.js';
 
 export type EventOf<K extends HistoryEvent['kind']> = Extract<HistoryEvent, { kind: K }>;
 export type EndingEvent = EventOf<'answered'> | EventOf<'failed'>;
 
-/** All that is known of one request. */
+/** All events of one request, by kind. */
 export interface RequestHistory {
   readonly submitted: SubmittedEvent;
   readonly tokens: readonly EventOf<'token'>[];
@@ -15,21 +15,20 @@
   readonly frames: readonly EventOf<'frame'>[];
   readonly effects: readonly EventOf<'effect'>[];
   readonly givenUpAt: Millis | null;
-  /** Time at which the instance died under the request, or null. */
+  /** Time at which the request's instance was killed while the request was open, or null. */
   readonly killedAt: Millis | null;
 }
 
-/** A history by request, with the rest of its events in order. */
+/** A history by request, with all its events in order. */
 export interface HistoryIndex {
   readonly requests: readonly RequestHistory[];
   readonly events: readonly HistoryEvent[];
   readonly endAt: Millis;
 }
 
-/** Sorts a history. */
 export function createHistoryIndex(events: readonly HistoryEvent[]): HistoryIndex {
   const byRequest = new Map<RequestId, HistoryEvent[]>();
-  const kills = new Map<InstanceId, Millis[]>();
+  const killTimes = new Map<InstanceId, Millis[]>();
   for (const event of events) {
     if ('request' in event) {
       const known = byRequest.get(event.request);
@@ -40,12 +39,12 @@
       }
     }
     if (event.kind === 'instance-killed') {
-      kills.set(event.instance, [...(kills.get(event.instance) ?? []), event.at]);
+      killTimes.set(event.instance, [...(killTimes.get(event.instance) ?? []), event.at]);
     }
   }
   const requests = [...byRequest.values()].flatMap((own) => {
     const submitted = own.find((event) => event.kind === 'submitted');
-    return submitted ? [createRequestHistory(submitted, own, kills)] : [];
+    return submitted ? [createRequestHistory(submitted, own, killTimes)] : [];
   });
   return { requests, events, endAt: events.at(-1)?.at ?? 0 };
 }
@@ -53,13 +52,13 @@
 function createRequestHistory(
   submitted: SubmittedEvent,
   events: readonly HistoryEvent[],
-  kills: ReadonlyMap<InstanceId, readonly Millis[]>,
+  killTimes: ReadonlyMap<InstanceId, readonly Millis[]>,
 ): RequestHistory {
   const endings = events.filter(
     (event): event is EndingEvent => event.kind === 'answered' || event.kind === 'failed',
   );
   const openUntil = endings[0]?.at ?? Infinity;
-  const killedAt = (kills.get(submitted.instance) ?? []).find(
+  const killedAt = (killTimes.get(submitted.instance) ?? []).find(
     (at) => at >= submitted.at && at <= openUntil,
   );
   return {
@@ -75,7 +74,7 @@
   };
 }
 
-/** Events of one kind, in order. */
+/** Returns the events of one kind, in order. */
 export function selectEvents<K extends HistoryEvent['kind']>(
   events: readonly HistoryEvent[],
   kind: K,
--- a/packages/proof/src/HistoryInstance.ts
+++ b/packages/proof/src/HistoryInstance.ts
@@ -1,6 +1,6 @@
 /**
- * An entry instance of a history: the daemon's routing and the router of requests on fakes. All that it
- * does goes through one gate, so that a killed instance does nothing more and hears nothing more.
+ * A simulated instance: the daemon's routing and the request router on fakes. Its timers and the callbacks
+ * of its calls check whether it was killed, so that a killed instance neither acts nor receives anything.
  */
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -30,12 +30,11 @@
   readonly openEngineCall: OpenEngineCall;
   readonly openServiceCall: OpenServiceCall;
   readonly chooseServer: ChooseServer;
-  /** Whether the instance cannot reach an engine now. */
+  /** Whether the instance currently cannot reach an engine. */
   readonly isCut: (engine: string) => boolean;
   readonly onDecision: (record: DecisionRecord) => void;
 }
 
-/** A running instance. */
 export interface HistoryInstance {
   readonly self: SpreadMember;
   readonly router: Pick<RequestRouter, 'submit' | 'submitService'>;
@@ -45,20 +44,19 @@
   getPoisonDigest(): PoisonDigest;
   mergePoison(digest: PoisonDigest): void;
   drain(limit: Millis): Promise<void>;
-  /** Ends it at once: its connections break, and nothing of it goes on. */
+  /** Ends the instance at once: its connections break, and none of its work continues. */
   kill(): void;
 }
 
 const REPORT_PERIOD: Millis = 1000;
-const REPORT_LAG: Millis = 300;
+const REPORT_DELAY: Millis = 300;
 const QUEUE_LIMIT = 64;
 
-/** Starts an instance. */
 export function createHistoryInstance(options: HistoryInstanceOptions): HistoryInstance {
   const { self, engines, isCut } = options;
   const openCalls = new Set<() => void>();
   let isDead = false;
-  const timers = createMortalTimers(options.timers, () => isDead);
+  const timers = createKillableTimers(options.timers, () => isDead);
   const random = createRandom(options.seed);
   const routing = createDaemonRouting({
     domain: self.domain,
@@ -104,10 +102,10 @@
     onCount: () => undefined,
   });
 
-  function report(): void {
+  function reportLoads(): void {
     const seenAt = timers.now();
     const loads = engines.readLoads().filter(({ engine }) => !isCut(engine));
-    timers.registerTimeout(REPORT_LAG, () => {
+    timers.registerTimeout(REPORT_DELAY, () => {
       routing.setEngineLoads(loads.map((load) => ({ load, seenAt })));
       loads.forEach(({ engine, bootId }) => router.noteEngineAlive(engine, bootId));
     });
@@ -116,8 +114,8 @@
   routing.setEngineFacts(HISTORY_ENGINES.map(({ facts }) => facts));
   routing.setInstanceCounts(2, 1);
   routing.start();
-  report();
-  timers.registerInterval(REPORT_PERIOD, report);
+  reportLoads();
+  timers.registerInterval(REPORT_PERIOD, reportLoads);
   return {
     self,
     router,
@@ -137,8 +135,8 @@
   };
 }
 
-/** Timers that never fire once their process is dead. */
-function createMortalTimers(timers: TimerService, isDead: () => boolean): TimerService {
+/** Wraps timers so that they no longer fire once their process is dead. */
+function createKillableTimers(timers: TimerService, isDead: () => boolean): TimerService {
   return {
     now: timers.now,
     registerTimeout: (delay, listener) =>
--- a/packages/proof/src/HistoryLoopback.ts
+++ b/packages/proof/src/HistoryLoopback.ts
@@ -1,6 +1,6 @@
 /**
- * A history of real daemons over loopback: a stack of processes under seeded faults, and the same checker
- * as over virtual time. It takes real time, so it is run by hand and not in CI.
+ * Records and checks a history of real daemons over loopback: a stack of processes under seeded faults, with
+ * the same checker as in virtual time. It runs in real time and is therefore run by hand, not in CI.
  */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -21,11 +21,11 @@
 
 export interface LoopbackOptions {
   readonly seed: number;
-  /** How long callers send and faults begin. */
+  /** How long callers send requests and faults are injected. */
   readonly seconds: number;
 }
 
-/** What a run over loopback came to. */
+/** The outcome of a run over loopback. */
 export interface LoopbackResult {
   readonly seed: number;
   readonly requests: number;
@@ -37,32 +37,32 @@
   readonly violations: readonly HistoryViolation[];
 }
 
-/** What a fault over loopback may touch. */
+/** What the faults of a run over loopback can act on. */
 export interface LoopbackWorld {
   readonly stack: Stack;
   readonly random: Random;
   readonly record: (event: HistoryEvent) => void;
   readonly now: () => number;
-  /** Daemons that live and are not stopping. */
+  /** Daemons that are running and not stopping. */
   readonly listReady: () => readonly StackDaemon[];
   setFault(url: string, fault: Readonly<Record<string, unknown>>): Promise<void>;
-  /** Ends a daemon and starts another in its place. */
+  /** Ends a daemon, by a planned stop or a kill, and starts another in its place. */
   replaceDaemon(daemon: StackDaemon, isPlanned: boolean): Promise<void>;
   submitChange(): Promise<void>;
 }
 
 const MILLIS = 1000;
-const SEND_GAP = 100;
-const FAULT_GAP = 1500;
-const STATUS_GAP = 200;
+const SEND_INTERVAL = 100;
+const FAULT_INTERVAL = 1500;
+const STATUS_INTERVAL = 200;
 const BALANCER_LAG = 200;
 const DEADLINE = 60_000;
-const SETTLE = 12_000;
-const RECEIPT_SHARE = 0.3;
+const SETTLE_TIME = 12_000;
+const SERVICE_CALL_SHARE = 0.3;
 const DOMAINS = 2;
 const DAEMONS_PER_DOMAIN = 2;
 
-/** Runs a stack under seeded faults and judges what happened. */
+/** Runs a stack under seeded faults and checks the recorded history. */
 export async function runLoopbackHistory(options: LoopbackOptions): Promise<LoopbackResult> {
   const { seed, seconds } = options;
   const size = {
@@ -83,18 +83,20 @@
   const { seed } = size;
   const random = createRandom(seed);
   const events: HistoryEvent[] = [];
+  /** Ids of daemons that were killed or have stopped. */
   const gone = new Set<string>();
-  const leavingBalancer = new Set<string>();
+  /** Ids of daemons that callers do not send to because they are stopping or starting. */
+  const outOfRotation = new Set<string>();
   const faults: string[] = [];
   const work: Promise<unknown>[] = [];
   const startedAt = now();
   let changes = 1;
-  let isOver = false;
+  let hasEnded = false;
   const record = (event: HistoryEvent): void => {
     events.push(event);
   };
   const listReady = (): readonly StackDaemon[] =>
-    stack.daemons.filter(({ id }) => !gone.has(id) && !leavingBalancer.has(id));
+    stack.daemons.filter(({ id }) => !gone.has(id) && !outOfRotation.has(id));
 
   const world: LoopbackWorld = {
     stack,
@@ -104,7 +106,7 @@
     listReady,
     setFault,
     async replaceDaemon(daemon, isPlanned) {
-      leavingBalancer.add(daemon.id);
+      outOfRotation.add(daemon.id);
       if (isPlanned) {
         const stopped = daemon.process.stop();
         await sleep(BALANCER_LAG);
@@ -118,11 +120,11 @@
         await daemon.process.kill();
       }
       const id = `${daemon.id}r`;
-      leavingBalancer.add(id);
+      outOfRotation.add(id);
       const started = await stack.startDaemon(id, daemon.domain);
       record({ kind: 'instance-started', at: now(), instance: id });
       await waitFor(async () => ((await readRevision(started)) ?? 0) > 0, `${id} to be ready`);
-      leavingBalancer.delete(id);
+      outOfRotation.delete(id);
     },
     async submitChange() {
       changes += 1;
@@ -134,11 +136,11 @@
     },
   };
 
-  /** Notes each new revision at each daemon; the first sight of one anywhere is its acceptance. */
+  /** Records each new revision at each daemon; its first appearance at any daemon counts as its acceptance. */
   async function watchRevisions(): Promise<void> {
     const known = new Map<string, number>();
     let accepted = 0;
-    while (!isOver) {
+    while (!hasEnded) {
       for (const daemon of stack.daemons.filter(({ id }) => !gone.has(id))) {
         const revision = await readRevision(daemon);
         if (revision !== null && revision !== known.get(daemon.id) && !gone.has(daemon.id)) {
@@ -150,13 +152,13 @@
           record({ kind: 'in-force', at: now(), instance: daemon.id, revision });
         }
       }
-      await sleep(STATUS_GAP);
+      await sleep(STATUS_INTERVAL);
     }
   }
 
   async function injectFaults(): Promise<void> {
     while (now() < startedAt + seconds * MILLIS) {
-      await sleep(FAULT_GAP);
+      await sleep(FAULT_INTERVAL);
       const [name, inject] = LOOPBACK_FAULTS[random.nextInt(LOOPBACK_FAULTS.length)] ?? [];
       if (name && inject) {
         faults.push(name);
@@ -179,14 +181,16 @@
   while (now() < startedAt + seconds * MILLIS) {
     const place = random.nextInt(MILLIS);
     work.push(
-      random.nextFloat() < RECEIPT_SHARE ? callers.sendServiceRequest(place) : callers.sendModelRequest(place),
+      random.nextFloat() < SERVICE_CALL_SHARE
+        ? callers.sendServiceRequest(place)
+        : callers.sendModelRequest(place),
     );
-    await sleep(SEND_GAP);
+    await sleep(SEND_INTERVAL);
   }
   await injecting;
   await Promise.all(work);
-  await sleep(SETTLE);
-  isOver = true;
+  await sleep(SETTLE_TIME);
+  hasEnded = true;
   await watching;
   const { passes, effects } = await readWork(stack, callers.names, events);
   const all = [...events, ...passes, ...effects].sort((a, b) => a.at - b.at);
@@ -205,7 +209,7 @@
   };
 }
 
-/** One clock for all processes of the machine, as the stand-ins' ledgers have it. */
+/** Wall clock shared by all processes of the machine; the stand-ins' ledgers use the same one. */
 function now(): number {
   return performance.timeOrigin + performance.now();
 }
@@ -219,11 +223,11 @@
     });
     await res.body.dump();
   } catch {
-    // It is down already; a fault on top of that changes nothing.
+    // The server is already down, so a further fault has no effect.
   }
 }
 
-/** The revision in force at a daemon; null if it does not answer or has none. */
+/** Reads the revision in force at a daemon; null if the daemon does not respond or has none. */
 async function readRevision({ admin }: StackDaemon): Promise<number | null> {
   try {
     const res = await request(`${admin}/readyz`);
@@ -234,7 +238,7 @@
   }
 }
 
-/** Reads what engines and services ran, under the names that requests have in the history. */
+/** Reads what engines and services executed, with the names that requests have in the history. */
 async function readWork(
   stack: Stack,
   names: ReadonlyMap<string, string>,
@@ -266,8 +270,8 @@
     work.push({ kind: 'pass', at, request: name, attempt, end: token, layers });
     lastAttempts.set(`${name} ${token}`, pass);
   }
-  // The ledgers do not tell in which attempt a token was delivered: a later one goes on behind the
-  // tokens that were, so that the last one that made a token is the one that delivered it.
+  // The ledgers do not record which attempt delivered a token. A later attempt continues after the
+  // delivered tokens, so the last attempt that computed a token is the one that delivered it.
   const frames = [...lastAttempts.values()].map(({ request: id, attempt, token }) => ({
     kind: 'frame' as const,
     at: 0,
@@ -277,7 +281,7 @@
   }));
   return {
     passes: [...work, ...frames],
-    // An effect belongs to its key; the ledger of the service has it, also where no answer came.
+    // The service's ledger has an effect even if no answer arrived; it is then assigned by its key.
     effects: effects.flat().map(({ request: id, key }) => {
       const name = names.get(id) ?? `${key}.0`;
       return { kind: 'effect' as const, at: submittedAt.get(name) ?? 0, request: name };
--- a/packages/proof/src/HistoryLoopbackCallers.ts
+++ b/packages/proof/src/HistoryLoopbackCallers.ts
@@ -1,4 +1,4 @@
-/** Callers of real daemons over loopback: they record what they hear as events of a history. */
+/** Callers of real daemons over loopback: they record what they receive as events of a history. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { CallerRecord } from '@skylarksail/bench/DemoCallers';
 import { callService, streamCompletion } from '@skylarksail/bench/DemoCallers';
@@ -20,33 +20,32 @@
   readonly isDead: (daemon: StackDaemon) => boolean;
 }
 
-/** Callers over HTTP. Each promise settles when its caller has what it wants, or gives up. */
+/** Callers over HTTP. Each promise settles when its request, resends included, is served or given up. */
 export interface LoopbackCallers {
   sendModelRequest(place: number): Promise<void>;
   sendServiceRequest(place: number): Promise<void>;
-  /** The request's name in the history by the id that its daemon gave it. */
+  /** Names of requests in the history, by the ids that the daemons assigned to them. */
   readonly names: ReadonlyMap<string, string>;
 }
 
-/** Time that the stack's manifest gives a request. */
+/** Deadline of a request in the stack's manifest, relative to its arrival. */
 const DEADLINE = 60_000;
-const MOST_SENDS = 4;
+const MAX_SENDS = 4;
 const RESEND_DELAY = 200;
-const MOST_TOKENS = 200;
+const MAX_TOKENS = 200;
 const LAYERS = 24;
 const [TEAM] = STACK_TEAMS;
 
-/** Creates callers that have sent nothing yet. */
 export function createLoopbackCallers(options: LoopbackCallersOptions): LoopbackCallers {
   const { now, record, listReady, isDead } = options;
   const names = new Map<string, string>();
   const bodies = new Map<string, string>();
   let count = 0;
 
-  function submit(
+  function recordSubmitted(
     request: string,
     daemon: StackDaemon,
-    more: Pick<SubmittedEvent, 'work' | 'key' | 'idempotent' | 'expected'>,
+    details: Pick<SubmittedEvent, 'work' | 'key' | 'idempotent' | 'expected'>,
   ): void {
     record({
       kind: 'submitted',
@@ -56,17 +55,17 @@
       promptTokens: 0,
       layerCount: LAYERS,
       deadline: now() + DEADLINE,
-      ...more,
+      ...details,
     });
   }
 
-  /** Records how a request ended; true if its caller is served, or will get nothing better. */
-  function end(request: string, daemon: StackDaemon, result: CallerRecord | null): boolean {
+  /** Records how a request ended; returns whether its caller is done, so that it does not send it again. */
+  function recordEnd(request: string, daemon: StackDaemon, result: CallerRecord | null): boolean {
     if (result && result.requestId !== '') {
       names.set(result.requestId, request);
     }
     if (!result || result.outcome === 'cut off') {
-      // Without a word from a daemon that lives, the checker misses the ending.
+      // If the daemon is still running, no ending is recorded and the checker reports the missing one.
       return !isDead(daemon);
     }
     if (result.outcome === 'refused') {
@@ -84,13 +83,13 @@
     place: number,
     sendOnce: (request: string, daemon: StackDaemon) => Promise<CallerRecord>,
   ): Promise<void> {
-    for (let sends = 0; sends < MOST_SENDS; sends++) {
+    for (let sends = 0; sends < MAX_SENDS; sends++) {
       const ready = listReady();
       const daemon = ready[(place + sends) % Math.max(1, ready.length)];
       if (daemon) {
         const request = `${name}.${sends}`;
         const result = await sendOnce(request, daemon).catch(() => null);
-        if (end(request, daemon, result)) {
+        if (recordEnd(request, daemon, result)) {
           return;
         }
       }
@@ -109,13 +108,13 @@
         computeToken(computePromptSeed(prompt), i),
       );
       return sendUntilServed(name, place, (request, daemon) => {
-        submit(request, daemon, { work: 'model', key: null, idempotent: true, expected });
+        recordSubmitted(request, daemon, { work: 'model', key: null, idempotent: true, expected });
         return streamCompletion({
           what: name,
           callers: daemon.callers,
           key: TEAM.key,
           content,
-          maxTokens: MOST_TOKENS,
+          maxTokens: MAX_TOKENS,
           onToken: (tokens, token) =>
             record({ kind: 'token', at: now(), request, index: tokens - 1, token }),
         });
@@ -125,7 +124,12 @@
       count += 1;
       const name = `receipt-${count}`;
       return sendUntilServed(name, place, async (request, daemon) => {
-        submit(request, daemon, { work: 'service', key: name, idempotent: false, expected: [] });
+        recordSubmitted(request, daemon, {
+          work: 'service',
+          key: name,
+          idempotent: false,
+          expected: [],
+        });
         const result = await callService({
           what: name,
           callers: daemon.callers,
@@ -138,7 +142,7 @@
           const body = bodies.get(name) ?? result.detail;
           bodies.set(name, body);
           if (body !== result.detail) {
-            // A resend that is given another receipt: the checker takes it as a token out of place.
+            // The resend got a different receipt: the checker reports this event as an unexpected token.
             record({ kind: 'token', at: now(), request, index: 1, token: result.detail });
           }
         }
--- a/packages/proof/src/HistoryLoopbackFaults.ts
+++ b/packages/proof/src/HistoryLoopbackFaults.ts
@@ -1,32 +1,44 @@
-/** Faults of a history over loopback: through the stand-ins' `/faults`, and by signals to daemons. */
+/** Faults of a run over loopback: requests to the stand-ins' `/faults`, and signals to daemons. */
 import type { StackServer } from '@skylarksail/bench/StackLauncher';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackWorld } from './HistoryLoopback.js';
 
 type InjectLoopbackFault = (world: LoopbackWorld) => Promise<void>;
 
-const SHORT = 1500;
-const LONG = 3000;
+const SHORT_FAULT = 1500;
+const LONG_FAULT = 3000;
 const SLOW_FACTOR = 10;
-const FRAMES = 5;
-const LEAST_READY = 2;
+const FAULT_COUNT = 5;
+const MIN_READY = 2;
 
-/** Faults by name; one of them is drawn at a time. */
+/** Faults by name; each injection picks one at random. */
 export const LOOPBACK_FAULTS: readonly (readonly [string, InjectLoopbackFault])[] = [
-  ['engine-crash', (world) => strikeEngine(world, { kind: 'crash', ms: SHORT })],
-  ['engine-hang', (world) => strikeEngine(world, { kind: 'hang', ms: SHORT })],
-  ['engine-slow', (world) => strikeEngine(world, { kind: 'slow', ms: LONG, factor: SLOW_FACTOR })],
-  ['frames-repeated', (world) => strikeEngine(world, { kind: 'duplicate-frames', count: FRAMES })],
-  ['frames-reordered', (world) => strikeEngine(world, { kind: 'reorder-frames', count: 2 })],
-  ['frames-garbage', (world) => strikeEngine(world, { kind: 'garbage', count: 1 })],
-  ['engine-leaving', leaveEngine],
-  ['service-answer-lost', (world) => strikeServices(world, { kind: 'drop-answer', count: 2 })],
-  ['service-hang', (world) => strikeServices(world, { kind: 'hang', ms: SHORT })],
-  ['platform-outage', (world) => strikePlatform(world, { kind: 'outage', ms: LONG })],
-  ['lost-answers', (world) => strikePlatform(world, { kind: 'drop-answer', count: FRAMES })],
-  ['late-writes', (world) => strikePlatform(world, { kind: 'late-effect', count: FRAMES })],
-  ['instance-kill', (world) => endDaemon(world, false)],
-  ['planned-stop', (world) => endDaemon(world, true)],
+  ['engine-crash', (world) => injectEngineFault(world, { kind: 'crash', ms: SHORT_FAULT })],
+  ['engine-hang', (world) => injectEngineFault(world, { kind: 'hang', ms: SHORT_FAULT })],
+  [
+    'engine-slow',
+    (world) => injectEngineFault(world, { kind: 'slow', ms: LONG_FAULT, factor: SLOW_FACTOR }),
+  ],
+  [
+    'frames-repeated',
+    (world) => injectEngineFault(world, { kind: 'duplicate-frames', count: FAULT_COUNT }),
+  ],
+  ['frames-reordered', (world) => injectEngineFault(world, { kind: 'reorder-frames', count: 2 })],
+  ['frames-garbage', (world) => injectEngineFault(world, { kind: 'garbage', count: 1 })],
+  ['engine-leaving', startEngineLeaving],
+  ['service-answer-lost', (world) => injectServiceFault(world, { kind: 'drop-answer', count: 2 })],
+  ['service-hang', (world) => injectServiceFault(world, { kind: 'hang', ms: SHORT_FAULT })],
+  ['platform-outage', (world) => injectPlatformFault(world, { kind: 'outage', ms: LONG_FAULT })],
+  [
+    'lost-answers',
+    (world) => injectPlatformFault(world, { kind: 'drop-answer', count: FAULT_COUNT }),
+  ],
+  [
+    'late-writes',
+    (world) => injectPlatformFault(world, { kind: 'late-effect', count: FAULT_COUNT }),
+  ],
+  ['instance-kill', (world) => replaceOneDaemon(world, false)],
+  ['planned-stop', (world) => replaceOneDaemon(world, true)],
   ['change', (world) => world.submitChange()],
 ];
 
@@ -34,7 +46,7 @@
   return elements[random.nextInt(Math.max(1, elements.length))];
 }
 
-async function strike(
+async function injectFault(
   world: LoopbackWorld,
   servers: readonly StackServer[],
   fault: Readonly<Record<string, unknown>>,
@@ -45,21 +57,21 @@
   }
 }
 
-function strikeEngine(
+function injectEngineFault(
   world: LoopbackWorld,
   fault: Readonly<Record<string, unknown>>,
 ): Promise<void> {
-  return strike(world, world.stack.engines, fault);
+  return injectFault(world, world.stack.engines, fault);
 }
 
-function strikeServices(
+function injectServiceFault(
   world: LoopbackWorld,
   fault: Readonly<Record<string, unknown>>,
 ): Promise<void> {
-  return strike(world, world.stack.services, fault);
+  return injectFault(world, world.stack.services, fault);
 }
 
-async function leaveEngine(world: LoopbackWorld): Promise<void> {
+async function startEngineLeaving(world: LoopbackWorld): Promise<void> {
   const engine = pick(world, world.stack.engines);
   if (engine) {
     await world.setFault(engine.url, { kind: 'leaving' });
@@ -67,21 +79,21 @@
   }
 }
 
-async function strikePlatform(
+async function injectPlatformFault(
   world: LoopbackWorld,
   fault: Readonly<Record<string, unknown>>,
 ): Promise<void> {
   world.record({ kind: 'config-fault', at: world.now(), isFailing: true });
   await world.setFault(world.stack.platform, fault);
-  await sleep(LONG);
+  await sleep(LONG_FAULT);
   world.record({ kind: 'config-fault', at: world.now(), isFailing: false });
 }
 
-/** Ends a daemon, unless too few would be left to take its callers. */
-async function endDaemon(world: LoopbackWorld, isPlanned: boolean): Promise<void> {
+/** Replaces a random daemon, unless too few would be left to serve the callers meanwhile. */
+async function replaceOneDaemon(world: LoopbackWorld, isPlanned: boolean): Promise<void> {
   const ready = world.listReady();
   const daemon = pick(world, ready);
-  if (daemon && ready.length > LEAST_READY) {
+  if (daemon && ready.length > MIN_READY) {
     await world.replaceDaemon(daemon, isPlanned);
   }
 }
--- a/packages/proof/src/HistoryMain.ts
+++ b/packages/proof/src/HistoryMain.ts
@@ -1,4 +1,4 @@
-/** Runs histories over loopback by hand: `node packages/proof/dist/HistoryMain.js --seed 1 --seconds 30`. */
+/** Entry point for a manual run over loopback: `node packages/proof/dist/HistoryMain.js --seed 1 --seconds 30`. */
 import { parseArgs } from 'node:util';
 import { runLoopbackHistory } from './HistoryLoopback.js';
 
--- a/packages/proof/src/HistoryPlan.ts
+++ b/packages/proof/src/HistoryPlan.ts
@@ -1,4 +1,4 @@
-/** What a run of a history consists of: the fleet, the requests, the changes and the faults. */
+/** The inputs of a simulated run: the fleet, the requests, the manifest changes and the faults. */
 import type { EngineFacts } from '@skylarksail/core/CoreEngine';
 import type { EngineId, InstanceId, Millis } from '@skylarksail/core/CoreTypes';
 import { checkManifest } from '@skylarksail/manifest/ManifestCheck';
@@ -7,7 +7,7 @@
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { VirtualEngineSpec } from '@skylarksail/stand-ins/VirtualFleet';
 
-/** Kinds of faults that a schedule may hold. */
+/** Kinds of faults that a schedule can contain. */
 export const HistoryFaultKind = {
   EngineCrash: 'engine-crash',
   EngineHang: 'engine-hang',
@@ -36,7 +36,7 @@
 
 export type HistoryFaultName = (typeof HistoryFaultKind)[keyof typeof HistoryFaultKind];
 
-/** One fault. `target` picks an engine, an instance, a domain or a request among those there are. */
+/** One fault. `target`, modulo the number of candidates, selects an engine, instance, domain or request. */
 export interface HistoryFault {
   readonly kind: HistoryFaultName;
   readonly at: Millis;
@@ -44,7 +44,10 @@
   readonly target: number;
 }
 
-/** Kinds of requests: to a model or a plain service, that may or may not be repeated. */
+/**
+ * Kinds of requests, to a model or to a plain service: idempotent, non-idempotent with an idempotency key, or
+ * non-idempotent without one.
+ */
 export const HistoryRequestKind = {
   Model: 'model',
   KeyedModel: 'keyed-model',
@@ -56,19 +59,20 @@
 
 export type HistoryRequestKindName = (typeof HistoryRequestKind)[keyof typeof HistoryRequestKind];
 
-/** A request as its caller first sends it. */
+/** A request as its caller sends it the first time. */
 export interface HistoryRequest {
   readonly work: HistoryRequestKindName;
   readonly at: Millis;
   readonly tokens: number;
-  /** Place of its instance in `HISTORY_MEMBERS`. */
+  /** Index of its instance among the ready ones, modulo their number. */
   readonly instance: number;
 }
 
-/** Changes of the manifest, by the times at which they are submitted; near ones race. */
+/** The input of one run. */
 export interface HistorySchedule {
   readonly seed: number;
   readonly requests: readonly HistoryRequest[];
+  /** Times at which manifest changes are submitted; changes close together race. */
   readonly changes: readonly Millis[];
   readonly faults: readonly HistoryFault[];
 }
@@ -85,7 +89,7 @@
 export const HISTORY_SERVICE = 'accounts';
 export const HISTORY_SERVERS: readonly EngineId[] = ['accounts/d0', 'accounts/d1'];
 export const HISTORY_ACTIVATION_BYTES = 16384;
-/** Time that a caller gives for its answer, resends included. */
+/** Deadline of a request, relative to its first send; resends share it. */
 export const HISTORY_DEADLINE: Millis = 8000;
 
 const STAGES = [
@@ -94,7 +98,7 @@
 ];
 const COPIES = 2;
 
-/** The engines: two copies of each stage in each domain, one of them on slower accelerators. */
+/** Two engines for each stage in each domain, one of them on a slower accelerator. */
 export const HISTORY_ENGINES: readonly VirtualEngineSpec[] = HISTORY_DOMAINS.flatMap((domain) =>
   STAGES.flatMap((layers, stage) =>
     Array.from({ length: COPIES }, (_, copy) => ({
@@ -119,14 +123,14 @@
   };
 }
 
-/** The member at a place, which may be any number. */
+/** Returns the member at an index, modulo the number of members. */
 export function getHistoryMember(place: number): SpreadMember {
   const member = HISTORY_MEMBERS[place % HISTORY_MEMBERS.length];
   invariant(member, 'a history has members');
   return member;
 }
 
-/** The engine at a place, which may be any number. */
+/** Returns the engine at an index, modulo the number of engines. */
 export function getHistoryEngine(place: number): EngineFacts {
   const engine = HISTORY_ENGINES[place % HISTORY_ENGINES.length];
   invariant(engine, 'a history has engines');
@@ -137,7 +141,7 @@
   return HISTORY_MEMBERS.find(({ id }) => id === instance)?.domain ?? '';
 }
 
-/** The manifest after so many changes. */
+/** Creates the manifest after `change` changes; they differ in a queue limit. */
 export function createHistoryManifest(change: number): Manifest {
   const checked = checkManifest({
     schema: 1,
--- a/packages/proof/src/HistoryRunner.ts
+++ b/packages/proof/src/HistoryRunner.ts
@@ -1,4 +1,4 @@
-/** Runs a schedule against the real core over virtual time, and gives the history of what happened. */
+/** Runs a schedule against the real core in virtual time and returns the recorded history. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { submitManifest } from '@skylarksail/manifest/ManifestStore';
 import { HISTORY_PIPELINE, scheduleFaults } from './HistoryFaults.js';
@@ -8,14 +8,14 @@
 import type { HistoryWorld } from './HistoryWorld.js';
 import { createHistoryWorld } from './HistoryWorld.js';
 
-/** Length of a history; the last fault is over long before, so that all must have come right. */
+/** Length of a history. The last fault ends long before, so the system must have recovered by then. */
 export const HISTORY_LENGTH: Millis = 24_000;
 
-const STEP: Millis = 10;
+const TIME_STEP: Millis = 10;
 const CALL_TIMEOUT: Millis = 500;
-const SUBMIT_WITHIN: Millis = 8000;
+const SUBMIT_TIMEOUT: Millis = 8000;
 
-/** Runs a schedule to its end. The same schedule gives the same history. */
+/** Runs a schedule to its end. The result is deterministic: the same schedule gives the same history. */
 export async function runHistory(schedule: HistorySchedule): Promise<readonly HistoryEvent[]> {
   const world = createHistoryWorld(schedule.seed);
   const { timers, callers } = world;
@@ -29,7 +29,7 @@
   });
   scheduleFaults(world, schedule.faults);
   while (timers.now() < HISTORY_LENGTH) {
-    timers.advanceTo(timers.now() + STEP);
+    timers.advanceTo(timers.now() + TIME_STEP);
     await new Promise(setImmediate);
   }
   world.processes.forEach(({ instance }) => instance.kill());
@@ -47,6 +47,6 @@
   void submitManifest(context, createHistoryManifest(change), {
     submissionId: `change-${change}`,
     expectedRevision: null,
-    deadline: timers.now() + SUBMIT_WITHIN,
+    deadline: timers.now() + SUBMIT_TIMEOUT,
   });
 }
--- a/packages/proof/src/HistoryService.ts
+++ b/packages/proof/src/HistoryService.ts
@@ -1,4 +1,4 @@
-/** A plain service that does what it is told, counts its effects, and loses answers when told to. */
+/** A simulated plain service that reports its effects, and loses answers or is down while a fault is active. */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { OpenServiceCall, ServiceCallListener } from '@skylarksail/requests/RequestPorts';
@@ -9,16 +9,16 @@
 export interface ServiceOptions {
   readonly timers: TimerService;
   readonly hasFault: (kind: HistoryFaultName) => boolean;
-  /** Whether the server can be reached now. */
+  /** Whether the server currently cannot be reached. */
   readonly isCut: (server: string) => boolean;
   readonly onEffect: (request: string) => void;
 }
 
-const HALF_WAY: Millis = 1;
-const WORK: Millis = 20;
+const ONE_WAY_DELAY: Millis = 1;
+const WORK_TIME: Millis = 20;
 const STATUS_OK = 200;
 
-/** The answer to a request: its body, given back. */
+/** Opens calls to the service, which echoes the body of each request. */
 export function createServiceCalls(options: ServiceOptions): OpenServiceCall {
   const { timers, hasFault, isCut, onEffect } = options;
 
@@ -42,7 +42,7 @@
         listener.onAnswer({ status: STATUS_OK, headers: {}, body: call.body });
       }
     }
-    timers.registerTimeout(HALF_WAY, () => {
+    timers.registerTimeout(ONE_WAY_DELAY, () => {
       if (isCancelled || isCut(call.server)) {
         return;
       }
@@ -50,9 +50,9 @@
         fail(listener, FailurePlace.Connect);
         return;
       }
-      timers.registerTimeout(WORK, () => {
+      timers.registerTimeout(WORK_TIME, () => {
         onEffect(call.request);
-        timers.registerTimeout(HALF_WAY, answer);
+        timers.registerTimeout(ONE_WAY_DELAY, answer);
       });
     });
     return () => {
--- a/packages/proof/src/HistoryTypes.ts
+++ b/packages/proof/src/HistoryTypes.ts
@@ -1,4 +1,4 @@
-/** The events of a recorded history: what callers, instances, engines and services did, and when. */
+/** The events of a recorded history: timestamped actions of callers, instances, engines and services. */
 import type { RunStateName } from '@skylarksail/core/CoreConstants';
 import type {
   EngineId,
@@ -8,7 +8,7 @@
   RequestId,
 } from '@skylarksail/core/CoreTypes';
 
-/** A request as its caller sent it to one instance. A resend is a request of its own with the same key. */
+/** A request as its caller sent it to one instance. A resend is a separate request with the same key. */
 export interface SubmittedEvent {
   readonly kind: 'submitted';
   readonly at: Millis;
@@ -17,15 +17,15 @@
   readonly work: 'model' | 'service';
   readonly key: string | null;
   readonly idempotent: boolean;
-  /** Tokens of the right answer, or the body of a service's answer as a single one. */
+  /** Tokens of the correct answer; for a service, the response body as a single token. */
   readonly expected: readonly string[];
-  /** Position in the sequence at which token 0 is made: the length of the prompt. */
+  /** Length of the prompt, which is the position of answer token 0 in the sequence. */
   readonly promptTokens: number;
   readonly layerCount: number;
   readonly deadline: Millis;
 }
 
-/** Something that a caller saw, or did, after it had sent a request. */
+/** Something that a caller received or did after it sent a request. */
 export type CallerEvent =
   | {
       readonly kind: 'token';
@@ -46,7 +46,7 @@
 
 /** Something that an engine or a service did. */
 export type WorkEvent =
-  /** An engine took an attempt up. */
+  /** An engine started an attempt. */
   | {
       readonly kind: 'taken';
       readonly at: Millis;
@@ -54,7 +54,7 @@
       readonly attempt: number;
       readonly engine: EngineId;
     }
-  /** Tokens up to position `end`, exclusive, passed some layers. */
+  /** Tokens up to position `end`, exclusive, were computed through a range of layers. */
   | {
       readonly kind: 'pass';
       readonly at: Millis;
@@ -63,7 +63,7 @@
       readonly end: number;
       readonly layers: LayerRange;
     }
-  /** A token's frame reached the instance; the latest one before a token is the one that it came in. */
+  /** A token's frame reached the instance. The latest frame before a token event carried that token. */
   | {
       readonly kind: 'frame';
       readonly at: Millis;
@@ -71,7 +71,7 @@
       readonly attempt: number;
       readonly index: number;
     }
-  /** A plain service did what a call asked for. */
+  /** A plain service executed a call. */
   | { readonly kind: 'effect'; readonly at: Millis; readonly request: RequestId }
   | { readonly kind: 'engine-leaving'; readonly at: Millis; readonly engine: EngineId };
 
@@ -85,10 +85,10 @@
 export type InstanceEvent =
   | InstanceChange<'instance-started'>
   | InstanceChange<'instance-killed'>
-  /** It takes nothing new from here on. */
+  /** The instance accepts no new requests from here on. */
   | InstanceChange<'instance-stopping'>
   | InstanceChange<'instance-stopped'>
-  /** The router gave a request up; its caller is to hear of it at once. */
+  /** The router gave up on a request and must report the failure to the caller at once. */
   | { readonly kind: 'given-up'; readonly at: Millis; readonly request: RequestId };
 
 /** Something that happened to the configuration. */
@@ -100,7 +100,7 @@
       readonly instance: InstanceId;
       readonly revision: number;
     }
-  /** The platform or the network between instances began or ceased to fail. */
+  /** The platform or the network between instances started or stopped failing. */
   | { readonly kind: 'config-fault'; readonly at: Millis; readonly isFailing: boolean };
 
 export type HistoryEvent =
@@ -111,7 +111,7 @@
   | ConfigEvent
   | { readonly kind: 'end'; readonly at: Millis };
 
-/** What a history may be found to break. */
+/** Rules that every history must satisfy. */
 export const HistoryRule = {
   OneAnswer: 'one-answer',
   WholeAnswer: 'whole-answer',
@@ -128,7 +128,7 @@
 
 export type HistoryRuleName = (typeof HistoryRule)[keyof typeof HistoryRule];
 
-/** A rule that a history breaks, with what broke it. */
+/** A violated rule, and the event or state that violates it. */
 export interface HistoryViolation {
   readonly rule: HistoryRuleName;
   readonly detail: string;
--- a/packages/proof/src/HistoryWorkRules.ts
+++ b/packages/proof/src/HistoryWorkRules.ts
@@ -1,14 +1,14 @@
-/** Rules on what engines and services did: layers, effects, "not run", and engines that leave. */
+/** Rules on what engines and services executed: layers, effects, reported run states, leaving engines. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import type { EventOf, HistoryIndex, RequestHistory } from './HistoryIndex.js';
 import { selectEvents } from './HistoryIndex.js';
 import type { HistoryRuleName, HistoryViolation } from './HistoryTypes.js';
 import { HistoryRule } from './HistoryTypes.js';
 
-/** Time after which an engine that is leaving gets no new work. */
+/** Time after which a leaving engine must not start new attempts. */
 const LEAVING_GRACE: Millis = 3000;
 
-/** What a history's work breaks. */
+/** Returns the violations of the rules on executed work. */
 export function checkWorkRules(index: HistoryIndex): readonly HistoryViolation[] {
   const byKey = groupByKey(index.requests);
   return [
@@ -20,7 +20,7 @@
   ];
 }
 
-/** A request and its resends; one without a key stands for itself. */
+/** Groups a request with its resends by key; a request without a key is a group of its own. */
 function groupByKey(
   requests: readonly RequestHistory[],
 ): ReadonlyMap<string, readonly RequestHistory[]> {
@@ -33,21 +33,21 @@
   return groups;
 }
 
-/** Each token that a caller got passed every layer once, in order, in the attempt that delivered it. */
+/** Each delivered token passed every layer once, in order, in the attempt that delivered it. */
 function checkLayers(request: RequestHistory): readonly HistoryViolation[] {
   const { submitted, tokens, passes, frames } = request;
   if (submitted.work === 'service' || passes.length === 0) {
     return [];
   }
-  const passesByPlace = new Map<string, EventOf<'pass'>[]>();
+  const passesByPosition = new Map<string, EventOf<'pass'>[]>();
   for (const pass of passes) {
     const place = `${pass.attempt} ${pass.end}`;
-    passesByPlace.set(place, [...(passesByPlace.get(place) ?? []), pass]);
+    passesByPosition.set(place, [...(passesByPosition.get(place) ?? []), pass]);
   }
   return tokens.flatMap(({ index, at }) => {
     const frame = frames.findLast((sent) => sent.index === index && sent.at <= at);
     const end = submitted.promptTokens + index;
-    const own = passesByPlace.get(`${frame?.attempt} ${end}`) ?? [];
+    const own = passesByPosition.get(`${frame?.attempt} ${end}`) ?? [];
     let layer = 0;
     const isInOrder = own.every(({ layers }) => {
       const follows = layers.first === layer;
@@ -57,7 +57,7 @@
     return isInOrder && layer === submitted.layerCount
       ? []
       : [
-          fail(
+          createViolation(
             HistoryRule.LayersInOrder,
             `${submitted.request}: token ${index} passed ${describePasses(own)}`,
           ),
@@ -69,39 +69,55 @@
   return passes.map(({ layers }) => `[${layers.first}-${layers.end})`).join(' ') || 'no layer';
 }
 
-/** What may not be repeated ran at most once, over all requests with its key. */
+/** A non-idempotent request ran at most once, counted over all requests with its key. */
 function checkAtMostOnce(requests: readonly RequestHistory[]): readonly HistoryViolation[] {
-  const once = requests.filter(({ submitted }) => !submitted.idempotent);
+  const nonIdempotent = requests.filter(({ submitted }) => !submitted.idempotent);
   const runs = new Set(
-    once.flatMap(({ passes }) => passes.map(({ request, attempt }) => `${request}#${attempt}`)),
+    nonIdempotent.flatMap(({ passes }) =>
+      passes.map(({ request, attempt }) => `${request}#${attempt}`),
+    ),
   );
-  const effects = once.reduce((sum, { effects: own }) => sum + own.length, 0);
-  const name = once[0]?.submitted.request ?? '';
+  const effects = nonIdempotent.reduce((sum, { effects: own }) => sum + own.length, 0);
+  const name = nonIdempotent[0]?.submitted.request ?? '';
   return [
-    ...(runs.size > 1 ? [fail(HistoryRule.AtMostOnce, `${name}: ran as ${[...runs].join()}`)] : []),
-    ...(effects > 1 ? [fail(HistoryRule.AtMostOnce, `${name}: ${effects} effects`)] : []),
+    ...(runs.size > 1
+      ? [createViolation(HistoryRule.AtMostOnce, `${name}: ran as ${[...runs].join()}`)]
+      : []),
+    ...(effects > 1
+      ? [createViolation(HistoryRule.AtMostOnce, `${name}: ${effects} effects`)]
+      : []),
   ];
 }
 
-/** "Not run" is true of the request for ever; "ran" is true of it or of one with its key. */
+/**
+ * A request reported as "not run" never runs, before or after the report. For one reported as "ran", it or
+ * another request with its key ran.
+ */
 function checkTrueRun(requests: readonly RequestHistory[]): readonly HistoryViolation[] {
   return selectFailed(requests).flatMap(({ request, ending }) => {
-    const isFalse =
+    const isWrong =
       (ending.run === 'not-run' && hasRun(request)) ||
       (ending.run === 'ran' && !requests.some((other) => hasRun(other)));
-    return isFalse ? [fail(HistoryRule.TrueRun, `${describeEnding(ending)}, which is not so`)] : [];
+    return isWrong
+      ? [createViolation(HistoryRule.TrueRun, `${describeEnding(ending)}, which is not so`)]
+      : [];
   });
 }
 
 /**
- * "Not run" is also true of the earlier requests with the key: their caller, cut off from the first,
- * would hold that nothing ran at all, and send the same again under another key.
+ * "Not run" must also hold for the earlier requests with the key. A caller that was cut off from the first
+ * one would otherwise conclude that nothing ran, and send the same request again under another key.
  */
 function checkTrueRunOfKey(requests: readonly RequestHistory[]): readonly HistoryViolation[] {
   return selectFailed(requests).flatMap(({ ending }) => {
     const hasRunBefore = requests.some((other) => hasRun(other, ending.at));
     return ending.run === 'not-run' && hasRunBefore
-      ? [fail(HistoryRule.TrueRunOfKey, `${describeEnding(ending)}, and its key had run`)]
+      ? [
+          createViolation(
+            HistoryRule.TrueRunOfKey,
+            `${describeEnding(ending)}, and its key had run`,
+          ),
+        ]
       : [];
   });
 }
@@ -123,7 +139,7 @@
   return [...passes, ...effects].some(({ at }) => at <= until);
 }
 
-/** No attempt is taken up by an engine that has been leaving for longer than the grace. */
+/** No engine starts an attempt when it has been leaving for longer than the grace period. */
 function checkLeaving({ events }: HistoryIndex): readonly HistoryViolation[] {
   const leavingAt = new Map(
     selectEvents(events, 'engine-leaving').map(({ engine, at }) => [engine, at]),
@@ -131,13 +147,13 @@
   return selectEvents(events, 'taken')
     .filter(({ engine, at }) => at > (leavingAt.get(engine) ?? Infinity) + LEAVING_GRACE)
     .map(({ engine, request, attempt, at }) =>
-      fail(
+      createViolation(
         HistoryRule.LeavingEngine,
         `${engine} took ${request}#${attempt} ${at - (leavingAt.get(engine) ?? 0)} ms after it began to leave`,
       ),
     );
 }
 
-function fail(rule: HistoryRuleName, detail: string): HistoryViolation {
+function createViolation(rule: HistoryRuleName, detail: string): HistoryViolation {
   return { rule, detail };
 }
--- a/packages/proof/src/HistoryWorld.ts
+++ b/packages/proof/src/HistoryWorld.ts
@@ -1,4 +1,4 @@
-/** The fleet of a history: instances with claims and manifest on fakes, over one virtual time. */
+/** The simulated fleet of a history: instances with claims and manifests on fakes, in one virtual time. */
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { VirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -16,7 +16,11 @@
 import type { VirtualFleet } from '@skylarksail/stand-ins/VirtualFleet';
 import { createVirtualFleet } from '@skylarksail/stand-ins/VirtualFleet';
 import type { HistoryCallers } from './HistoryCallers.js';
-import { createHistoryCallers, createHistoryToken, HISTORY_POISON_PREFIX } from './HistoryCallers.js';
+import {
+  createHistoryCallers,
+  createHistoryToken,
+  HISTORY_POISON_PREFIX,
+} from './HistoryCallers.js';
 import type { HistoryConditions } from './HistoryConditions.js';
 import { createHistoryConditions, getServerDomain, isServerCut } from './HistoryConditions.js';
 import { createFaultyCalls } from './HistoryFrames.js';
@@ -33,16 +37,16 @@
 import { createServiceCalls } from './HistoryService.js';
 import type { HistoryEvent } from './HistoryTypes.js';
 
-/** A running instance with its claims. */
+/** A running instance and its claims. */
 export interface HistoryProcess {
   readonly instance: HistoryInstance;
   readonly claims: FakeClaimInstance;
-  /** It has a manifest, and the balancer gives it requests. */
+  /** The instance has a manifest, and the load balancer sends it requests. */
   isReady: boolean;
   isStopping: boolean;
 }
 
-/** The fleet, and the record of what happens in it. */
+/** The fleet, and the recorded events. */
 export interface HistoryWorld {
   readonly timers: VirtualTimers;
   readonly random: Random;
@@ -55,19 +59,19 @@
   readonly processes: ReadonlyMap<InstanceId, HistoryProcess>;
   record(event: HistoryEvent): void;
   startProcess(member: SpreadMember): void;
-  /** Ends a process and all that it holds, at once. */
+  /** Ends a process at once, with its claims and its manifest node. */
   endProcess(id: InstanceId, kind: 'instance-killed' | 'instance-stopped'): void;
 }
 
 const ENTRY_DELAY: Millis = 0.3;
 const KV_BYTES_PER_LAYER = 1024;
 const LINK_BYTES_PER_SECOND = 2e8;
-const NEAR_DELAY: Millis = 0.1;
-const FAR_DELAY: Millis = 0.6;
+const SAME_DOMAIN_DELAY: Millis = 0.1;
+const CROSS_DOMAIN_DELAY: Millis = 0.6;
 const SLOTS = 2;
 const GOSSIP_PERIOD: Millis = 200;
 
-/** Creates a fleet of which nothing runs yet. */
+/** Creates a fleet without running instances. */
 export function createHistoryWorld(seed: number): HistoryWorld {
   const timers = createVirtualTimers();
   const random = createRandom(seed);
@@ -85,7 +89,7 @@
     getLink: (from, to) => ({
       key: `${from.id}>${to.id}`,
       bytesPerSecond: LINK_BYTES_PER_SECOND,
-      delayMs: from.domain === to.domain ? NEAR_DELAY : FAR_DELAY,
+      delayMs: from.domain === to.domain ? SAME_DOMAIN_DELAY : CROSS_DOMAIN_DELAY,
     }),
     activationBytes: HISTORY_ACTIVATION_BYTES,
     kvBytesPerLayer: KV_BYTES_PER_LAYER,
@@ -114,11 +118,11 @@
     members: HISTORY_MEMBERS,
     onInForce(instance, revision) {
       record({ kind: 'in-force', at: timers.now(), instance, revision });
-      timers.registerTimeout(0, () => takeManifest(instance));
+      timers.registerTimeout(0, () => applyManifest(instance));
     },
   });
 
-  function takeManifest(id: InstanceId): void {
+  function applyManifest(id: InstanceId): void {
     const process = processes.get(id);
     const view = manifests.getView(id);
     if (process && view) {
@@ -160,8 +164,8 @@
       }),
       chooseServer(_service, avoid) {
         const servers = HISTORY_SERVERS.filter((id) => !avoid.includes(id));
-        const near = servers.find((id) => getServerDomain(id) === self.domain) ?? servers[0];
-        return near === undefined ? null : { server: near, release: () => undefined };
+        const chosen = servers.find((id) => getServerDomain(id) === self.domain) ?? servers[0];
+        return chosen === undefined ? null : { server: chosen, release: () => undefined };
       },
       isCut,
       onDecision({ decision, request }) {
--- a/packages/proof/src/KnownRed.ts
+++ b/packages/proof/src/KnownRed.ts
@@ -1,6 +1,6 @@
-/** Reads KNOWN-RED.txt, the list of faults that stay for now, and matches it with the tests. */
+/** Parses KNOWN-RED.txt, the list of known failures that are not fixed yet, and checks it against the tests. */
 
-/** Kinds of entries: of a test, without a test, or meant for a test but without all its fields. */
+/** Kinds of entries: for a test, for something else, or for a test but with a missing or empty field. */
 export const KnownRedKind = {
   Test: 'test',
   Other: 'other',
@@ -19,7 +19,7 @@
 const TEST_ENTRY =
   /^test: (?<title>\S.*?) \| command: \S.* \| seed: \S.* \| seen: \S.* \| issue: \S.*$/;
 
-/** The entries of the list in their order; empty lines are none. */
+/** Parses the list into entries, in order; skips blank lines. */
 export function parseKnownRed(list: string): readonly KnownRedEntry[] {
   return list
     .split(/\r?\n/)
@@ -27,14 +27,17 @@
     .map(parseEntry);
 }
 
-/** Full titles of the tests to pass over. */
+/** Returns the full titles of the tests to skip. */
 export function getKnownRedTitles(entries: readonly KnownRedEntry[]): ReadonlySet<string> {
   return new Set(
     entries.flatMap((entry) => (entry.kind === KnownRedKind.Test ? [entry.title] : [])),
   );
 }
 
-/** What is wrong with the list itself. Without `titles`, all there are, stale entries aren't sought. */
+/**
+ * Returns the errors of the list itself. `titles` are the full titles of all tests; if it is missing, entries
+ * that match no test are not reported.
+ */
 export function findKnownRedFaults(
   entries: readonly KnownRedEntry[],
   titles?: ReadonlySet<string>,
--- a/packages/proof/src/__tests__/HistorySchedules.ts
+++ b/packages/proof/src/__tests__/HistorySchedules.ts
@@ -1,4 +1,4 @@
-/** Random schedules of histories, which fast-check shrinks when one fails. */
+/** Random schedules for histories; fast-check shrinks a failing one. */
 import fc from 'fast-check';
 import type { HistoryFault, HistoryRequest, HistorySchedule } from '../HistoryPlan.js';
 import { HistoryFaultKind, HistoryRequestKind } from '../HistoryPlan.js';
@@ -6,8 +6,8 @@
 import { HistoryRule } from '../HistoryTypes.js';
 
 /**
- * What a resend is told that is refused before its claim is looked at is an open question of the design,
- * told in docs/proof/histories.md; HISTORY_STRICT=1 holds the runs to this rule too.
+ * Rules that runs may violate. Which run state to report for a resend that is refused before its claim is
+ * checked is an open design question (docs/proof/histories.md). HISTORY_STRICT=1 enforces this rule too.
  */
 export const UNENFORCED_RULES: ReadonlySet<HistoryRuleName> = new Set(
   process.env.HISTORY_STRICT === '1' ? [] : [HistoryRule.TrueRunOfKey],
@@ -17,36 +17,38 @@
 const LAST_REQUEST = 8500;
 const LAST_FAULT = 6000;
 const LAST_CHANGE = 6000;
-const LONGEST_FAULT = 5000;
-const MOST_REQUESTS = 28;
-const MOST_TOKENS = 60;
-const MOST_CHANGES = 3;
-/** A fault is left out of one schedule in this many, which is what lets it be shrunk away. */
-const FAULT_MISSING = 20;
+const MAX_FAULT_DURATION = 5000;
+const MAX_REQUESTS = 28;
+const MAX_TOKENS = 60;
+const MAX_CHANGES = 3;
+/** Each fault is absent in one of this many schedules; being optional lets fast-check shrink it away. */
+const FAULT_OMISSION_FREQ = 20;
 
 const faults: fc.Arbitrary<HistoryFault> = fc.record({
   kind: fc.constantFrom(...Object.values(HistoryFaultKind)),
   at: fc.integer({ min: FIRST_REQUEST, max: LAST_FAULT }),
-  duration: fc.integer({ min: 100, max: LONGEST_FAULT }),
+  duration: fc.integer({ min: 100, max: MAX_FAULT_DURATION }),
   target: fc.nat(23),
 });
 
 const requests: fc.Arbitrary<HistoryRequest> = fc.record({
   work: fc.constantFrom(...Object.values(HistoryRequestKind)),
   at: fc.integer({ min: FIRST_REQUEST, max: LAST_REQUEST }),
-  tokens: fc.integer({ min: 1, max: MOST_TOKENS }),
+  tokens: fc.integer({ min: 1, max: MAX_TOKENS }),
   instance: fc.nat(2),
 });
 
 /** Schedules with `count` faults. */
 export function createScheduleArbitrary(count: number): fc.Arbitrary<HistorySchedule> {
-  const some = Array.from({ length: count }, () => fc.option(faults, { freq: FAULT_MISSING }));
+  const optionalFaults = Array.from({ length: count }, () =>
+    fc.option(faults, { freq: FAULT_OMISSION_FREQ }),
+  );
   return fc.record({
     seed: fc.nat(2 ** 30),
-    requests: fc.array(requests, { minLength: 1, maxLength: MOST_REQUESTS, size: 'max' }),
+    requests: fc.array(requests, { minLength: 1, maxLength: MAX_REQUESTS, size: 'max' }),
     changes: fc.array(fc.integer({ min: FIRST_REQUEST, max: LAST_CHANGE }), {
-      maxLength: MOST_CHANGES,
+      maxLength: MAX_CHANGES,
     }),
-    faults: fc.tuple(...some).map((drawn) => drawn.filter((fault) => fault !== null)),
+    faults: fc.tuple(...optionalFaults).map((drawn) => drawn.filter((fault) => fault !== null)),
   });
 }
--- a/packages/proof/src/__tests__/unit/HistoryChecker.test.ts
+++ b/packages/proof/src/__tests__/unit/HistoryChecker.test.ts
@@ -3,8 +3,8 @@
 import type { HistoryEvent, HistoryRuleName, SubmittedEvent } from '../../HistoryTypes.js';
 import { HistoryRule } from '../../HistoryTypes.js';
 
-/** An event at a time, as the histories below are written. */
-function submit(request: string, more: Partial<SubmittedEvent> = {}): SubmittedEvent {
+/** Creates a submitted event; `overrides` replaces defaults. */
+function createSubmitted(request: string, overrides: Partial<SubmittedEvent> = {}): SubmittedEvent {
   return {
     kind: 'submitted',
     at: 100,
@@ -17,12 +17,17 @@
     promptTokens: 5,
     layerCount: 8,
     deadline: 5000,
-    ...more,
+    ...overrides,
   };
 }
 
-/** Token `index` of a request, with its frame and its way through both stages. */
-function produce(request: string, index: number, token: string, attempt = 1): HistoryEvent[] {
+/** Creates the events of token `index` of a request: its passes through both stages, its frame, the token. */
+function createTokenEvents(
+  request: string,
+  index: number,
+  token: string,
+  attempt = 1,
+): HistoryEvent[] {
   const at = 200 + index;
   const end = 5 + index;
   return [
@@ -33,172 +38,207 @@
   ];
 }
 
-function answer(request: string, at = 300): HistoryEvent {
+function createAnswered(request: string, at = 300): HistoryEvent {
   return { kind: 'answered', at, request };
 }
 
-function fail(request: string, problem: string, run: 'not-run' | 'unknown' | 'ran', at = 300) {
+function createFailed(
+  request: string,
+  problem: string,
+  run: 'not-run' | 'unknown' | 'ran',
+  at = 300,
+) {
   return { kind: 'failed' as const, at, request, problem, run };
 }
 
-function start(instance: string, at = 0): HistoryEvent {
+function createStarted(instance: string, at = 0): HistoryEvent {
   return { kind: 'instance-started', at, instance };
 }
 
 const END: HistoryEvent = { kind: 'end', at: 30_000 };
-const GOOD: readonly HistoryEvent[] = [
-  start('a'),
+const VALID_HISTORY: readonly HistoryEvent[] = [
+  createStarted('a'),
   { kind: 'accepted', at: 10, revision: 1 },
   { kind: 'in-force', at: 20, instance: 'a', revision: 1 },
-  submit('r1'),
-  ...produce('r1', 0, 'x'),
-  ...produce('r1', 1, 'y'),
-  answer('r1'),
-  submit('r2', { key: 'k', idempotent: false, work: 'service', expected: ['z'] }),
+  createSubmitted('r1'),
+  ...createTokenEvents('r1', 0, 'x'),
+  ...createTokenEvents('r1', 1, 'y'),
+  createAnswered('r1'),
+  createSubmitted('r2', { key: 'k', idempotent: false, work: 'service', expected: ['z'] }),
   { kind: 'effect', at: 200, request: 'r2' },
   { kind: 'token', at: 201, request: 'r2', index: 0, token: 'z' },
-  answer('r2'),
-  submit('r3', { at: 400, expected: ['x'] }),
+  createAnswered('r2'),
+  createSubmitted('r3', { at: 400, expected: ['x'] }),
   { kind: 'given-up', at: 410, request: 'r3' },
-  fail('r3', 'overloaded', 'not-run', 410),
+  createFailed('r3', 'overloaded', 'not-run', 410),
   END,
 ];
 
 const KEYED = { key: 'k', idempotent: false };
-const [firstPass, secondPass, ...frames] = produce('r1', 0, 'x') as [
+const [firstPass, secondPass, ...frames] = createTokenEvents('r1', 0, 'x') as [
   HistoryEvent,
   HistoryEvent,
   ...HistoryEvent[],
 ];
 
-/** Histories that are wrong, by the rule that must find them out. */
-const WRONG: readonly (readonly [HistoryRuleName, string, readonly HistoryEvent[]])[] = [
-  [HistoryRule.OneAnswer, 'a caller that stayed hears nothing', [submit('r1')]],
-  [HistoryRule.OneAnswer, 'an answer and an error', [...GOOD, fail('r1', 'deadline', 'unknown')]],
+/** Invalid histories, by the rule that must report them. */
+const INVALID_CASES: readonly (readonly [HistoryRuleName, string, readonly HistoryEvent[]])[] = [
+  [HistoryRule.OneAnswer, 'no ending for a caller that did not hang up', [createSubmitted('r1')]],
+  [
+    HistoryRule.OneAnswer,
+    'an answer and then an error',
+    [...VALID_HISTORY, createFailed('r1', 'deadline', 'unknown')],
+  ],
   [
     HistoryRule.OneAnswer,
     'a token after the end',
-    [...GOOD, { kind: 'token', at: 400, request: 'r2', index: 1, token: 'z' }],
+    [...VALID_HISTORY, { kind: 'token', at: 400, request: 'r2', index: 1, token: 'z' }],
   ],
   [
     HistoryRule.OneAnswer,
     'an error long after the deadline',
-    [submit('r1'), fail('r1', 'deadline', 'not-run', 9000)],
+    [createSubmitted('r1'), createFailed('r1', 'deadline', 'not-run', 9000)],
   ],
   [
     HistoryRule.WholeAnswer,
-    'a cut answer called whole',
-    [submit('r1'), ...produce('r1', 0, 'x'), answer('r1')],
+    'a truncated answer reported as complete',
+    [createSubmitted('r1'), ...createTokenEvents('r1', 0, 'x'), createAnswered('r1')],
   ],
   [
     HistoryRule.WholeAnswer,
     'a repeated token',
-    [submit('r1'), ...produce('r1', 0, 'x'), ...produce('r1', 0, 'x'), answer('r1')],
+    [
+      createSubmitted('r1'),
+      ...createTokenEvents('r1', 0, 'x'),
+      ...createTokenEvents('r1', 0, 'x'),
+      createAnswered('r1'),
+    ],
   ],
   [
     HistoryRule.WholeAnswer,
     'a token missing in the middle',
     [
-      submit('r1', { expected: ['x', 'y', 'z'] }),
-      ...produce('r1', 0, 'x'),
-      ...produce('r1', 2, 'z'),
+      createSubmitted('r1', { expected: ['x', 'y', 'z'] }),
+      ...createTokenEvents('r1', 0, 'x'),
+      ...createTokenEvents('r1', 2, 'z'),
     ],
   ],
   [
     HistoryRule.WholeAnswer,
     "another caller's token",
-    [submit('r1'), ...produce('r1', 0, 'w'), fail('r1', 'engine-failed', 'ran')],
+    [
+      createSubmitted('r1'),
+      ...createTokenEvents('r1', 0, 'w'),
+      createFailed('r1', 'engine-failed', 'ran'),
+    ],
   ],
   [
     HistoryRule.LayersInOrder,
     'a stage skipped',
-    [submit('r1', { expected: ['x'] }), secondPass, ...frames, answer('r1')],
+    [createSubmitted('r1', { expected: ['x'] }), secondPass, ...frames, createAnswered('r1')],
   ],
   [
     HistoryRule.LayersInOrder,
     'a stage run twice',
-    [submit('r1', { expected: ['x'] }), firstPass, firstPass, secondPass, ...frames, answer('r1')],
+    [
+      createSubmitted('r1', { expected: ['x'] }),
+      firstPass,
+      firstPass,
+      secondPass,
+      ...frames,
+      createAnswered('r1'),
+    ],
   ],
   [
     HistoryRule.LayersInOrder,
     'stages in the wrong order',
-    [submit('r1', { expected: ['x'] }), secondPass, firstPass, ...frames, answer('r1')],
+    [
+      createSubmitted('r1', { expected: ['x'] }),
+      secondPass,
+      firstPass,
+      ...frames,
+      createAnswered('r1'),
+    ],
   ],
   [
     HistoryRule.AtMostOnce,
     'two effects of one key',
     [
-      submit('r1', { ...KEYED, work: 'service' }),
+      createSubmitted('r1', { ...KEYED, work: 'service' }),
       { kind: 'effect', at: 200, request: 'r1' },
       { kind: 'instance-killed', at: 210, instance: 'a' },
-      submit('r2', { ...KEYED, work: 'service', instance: 'b', expected: ['z'] }),
+      createSubmitted('r2', { ...KEYED, work: 'service', instance: 'b', expected: ['z'] }),
       { kind: 'effect', at: 250, request: 'r2' },
       { kind: 'token', at: 251, request: 'r2', index: 0, token: 'z' },
-      answer('r2'),
+      createAnswered('r2'),
     ],
   ],
   [
     HistoryRule.AtMostOnce,
-    'a second attempt of what may not be repeated',
+    'a second attempt of a non-idempotent request',
     [
-      submit('r1', { ...KEYED, expected: ['x'] }),
+      createSubmitted('r1', { ...KEYED, expected: ['x'] }),
       firstPass,
-      ...produce('r1', 0, 'x', 2),
-      answer('r1'),
+      ...createTokenEvents('r1', 0, 'x', 2),
+      createAnswered('r1'),
     ],
   ],
   [
     HistoryRule.TrueRun,
-    '"not run" of what had run',
-    [submit('r1'), firstPass, fail('r1', 'no-chain', 'not-run')],
+    '"not run" for a request that had run',
+    [createSubmitted('r1'), firstPass, createFailed('r1', 'no-chain', 'not-run')],
   ],
   [
     HistoryRule.TrueRun,
-    '"not run" of what runs later',
+    '"not run" for a request that runs later',
     [
-      submit('r1', { work: 'service' }),
-      fail('r1', 'deadline', 'not-run'),
+      createSubmitted('r1', { work: 'service' }),
+      createFailed('r1', 'deadline', 'not-run'),
       { kind: 'effect', at: 400, request: 'r1' },
     ],
   ],
-  [HistoryRule.TrueRun, '"ran" of what never ran', [submit('r1'), fail('r1', 'deadline', 'ran')]],
+  [
+    HistoryRule.TrueRun,
+    '"ran" for a request that never ran',
+    [createSubmitted('r1'), createFailed('r1', 'deadline', 'ran')],
+  ],
   [
     HistoryRule.TrueRunOfKey,
-    '"not run" of a key that had run',
+    '"not run" for a key that had run',
     [
-      submit('r1', KEYED),
+      createSubmitted('r1', KEYED),
       firstPass,
-      fail('r1', 'engine-failed', 'unknown'),
-      submit('r2', { ...KEYED, at: 400 }),
-      fail('r2', 'overloaded', 'not-run', 410),
+      createFailed('r1', 'engine-failed', 'unknown'),
+      createSubmitted('r2', { ...KEYED, at: 400 }),
+      createFailed('r2', 'overloaded', 'not-run', 410),
     ],
   ],
   [
     HistoryRule.RevisionsRise,
-    'a restarted instance goes back',
+    'a restarted instance with a lower revision',
     [
-      start('a'),
+      createStarted('a'),
       { kind: 'in-force', at: 20, instance: 'a', revision: 2 },
       { kind: 'instance-killed', at: 30, instance: 'a' },
-      start('a', 40),
+      createStarted('a', 40),
       { kind: 'in-force', at: 50, instance: 'a', revision: 1 },
     ],
   ],
   [
     HistoryRule.InForceInTime,
-    'a change that one instance never takes',
+    'a change that never takes effect at one instance',
     [
-      start('a'),
-      start('b'),
+      createStarted('a'),
+      createStarted('b'),
       { kind: 'accepted', at: 10, revision: 1 },
       { kind: 'in-force', at: 20, instance: 'a', revision: 1 },
     ],
   ],
   [
     HistoryRule.InForceInTime,
-    'a change that comes late after an outage',
+    'a change that takes effect too late after an outage',
     [
-      start('a'),
+      createStarted('a'),
       { kind: 'accepted', at: 10, revision: 1 },
       { kind: 'config-fault', at: 20, isFailing: true },
       { kind: 'config-fault', at: 5000, isFailing: false },
@@ -207,7 +247,7 @@
   ],
   [
     HistoryRule.LeavingEngine,
-    'work for an engine that has been leaving for long',
+    'an attempt started by an engine after its leaving grace period',
     [
       { kind: 'engine-leaving', at: 100, engine: 'e1' },
       { kind: 'taken', at: 3101, request: 'r1', attempt: 1, engine: 'e1' },
@@ -215,55 +255,55 @@
   ],
   [
     HistoryRule.PlannedStop,
-    'a request cut off by a planned stop',
+    'a request interrupted by a planned stop',
     [
-      submit('r1'),
+      createSubmitted('r1'),
       { kind: 'instance-stopping', at: 200, instance: 'a' },
-      fail('r1', 'draining', 'unknown'),
+      createFailed('r1', 'draining', 'unknown'),
       { kind: 'instance-stopped', at: 310, instance: 'a' },
     ],
   ],
   [
     HistoryRule.PlannedStop,
-    'an instance that ends before its requests do',
+    'an instance that ends before its requests',
     [
-      submit('r1'),
+      createSubmitted('r1'),
       { kind: 'instance-stopping', at: 200, instance: 'a' },
       { kind: 'instance-stopped', at: 310, instance: 'a' },
     ],
   ],
   [
     HistoryRule.AnsweredAtOnce,
-    'a request given up on whose caller waits',
+    'a late failure for a request that the router gave up on',
     [
-      submit('r1'),
+      createSubmitted('r1'),
       { kind: 'given-up', at: 200, request: 'r1' },
-      fail('r1', 'engine-failed', 'unknown', 900),
+      createFailed('r1', 'engine-failed', 'unknown', 900),
     ],
   ],
 ];
 
-describe('the checker of histories', () => {
-  it('finds nothing in a history that holds', () => {
-    expect(checkHistory(GOOD)).to.deep.equal([]);
+describe('history checker', () => {
+  it('accepts a valid history', () => {
+    expect(checkHistory(VALID_HISTORY)).to.deep.equal([]);
   });
 
-  WRONG.forEach(([rule, what, events]) => {
-    it(`finds ${rule}: ${what}`, () => {
+  INVALID_CASES.forEach(([rule, what, events]) => {
+    it(`reports ${rule}: ${what}`, () => {
       expect(checkHistory([...events, END]).map((violation) => violation.rule)).to.include(rule);
     });
   });
 
-  it('has a wrong history for each rule', () => {
-    const covered = new Set(WRONG.map(([rule]) => rule));
+  it('has an invalid history for each rule', () => {
+    const covered = new Set(INVALID_CASES.map(([rule]) => rule));
     expect([...covered]).to.have.members(Object.values(HistoryRule));
   });
 
-  it('lets a caller that hung up, or whose instance died, go without an ending', () => {
+  it('requires no ending for a caller that hung up or whose instance was killed', () => {
     const events: readonly HistoryEvent[] = [
-      submit('r1'),
+      createSubmitted('r1'),
       { kind: 'hung-up', at: 200, request: 'r1' },
-      submit('r2', { instance: 'b' }),
+      createSubmitted('r2', { instance: 'b' }),
       { kind: 'instance-killed', at: 200, instance: 'b' },
       END,
     ];
--- a/packages/proof/src/__tests__/unit/HistoryRuns.test.ts
+++ b/packages/proof/src/__tests__/unit/HistoryRuns.test.ts
@@ -14,16 +14,16 @@
   { name: 'three faults', count: 3 },
 ] as const;
 
-describe('histories of concurrent runs', function describeHistories() {
+describe('histories of random schedules', function describeHistories() {
   this.timeout(60_000 + RUNS * 1000);
 
   CASES.forEach(({ name, count }, i) => {
     const runs = Math.ceil(RUNS / CASES.length);
 
-    it(`holds every rule in ${runs} seeded runs with ${name}`, async () => {
-      // Symptom: a caller is left without its one whole answer or told an untruth, or a change reverts.
-      // Sequence: any mix of the schedule's faults. Cause: whatever it is, fast-check prints the seed,
-      // the path and the shrunk schedule; HISTORY_SEED and HISTORY_PATH repeat it.
+    it(`satisfies every rule in ${runs} seeded runs with ${name}`, async () => {
+      // Guards against any mix of faults that leaves a caller without exactly one complete answer, reports
+      // a wrong run state, or reverts a change. On a failure fast-check prints the seed, the path and the
+      // shrunk schedule; HISTORY_SEED and HISTORY_PATH repeat it.
       const seen = new Map<string, number>();
       const path = process.env.HISTORY_PATH;
       await fc.assert(
@@ -38,7 +38,7 @@
         }),
         { seed: SEED + i, numRuns: runs, ...(path === undefined ? {} : { path }) },
       );
-      // Runs that reach nothing would show nothing.
+      // Runs without enough answers, failures, changes and faults would not test the rules.
       if (runs > 300) {
         expect(seen.get('answered')).to.be.above(5 * runs);
         expect(seen.get('failed')).to.be.above(runs / 10);
--- a/packages/proof/src/__tests__/unit/HistoryStories.test.ts
+++ b/packages/proof/src/__tests__/unit/HistoryStories.test.ts
@@ -4,19 +4,19 @@
 import { runHistory } from '../../HistoryRunner.js';
 import type { HistoryEvent } from '../../HistoryTypes.js';
 
-/** Runs a schedule and fails if its history breaks any rule, open ones too. */
-async function holdToAllRules(schedule: HistorySchedule): Promise<readonly HistoryEvent[]> {
+/** Runs a schedule and fails if its history violates any rule, including those not enforced elsewhere. */
+async function runAndCheckAllRules(schedule: HistorySchedule): Promise<readonly HistoryEvent[]> {
   const events = await runHistory(schedule);
   expect(checkHistory(events)).to.deep.equal([]);
   return events;
 }
 
-describe('schedules that once failed', () => {
-  it('answers a resend near its deadline from the answer that is held', async () => {
-    // Symptom: "overloaded, not run" to a caller whose answer was held at an instance.
-    // Sequence: a keyed letter is answered at 2.5 s; its caller sends it again to two instances 0.8 s
-    // before its deadline, less than a run would take. Cause: admission was asked before the claim.
-    const events = await holdToAllRules({
+describe('regression schedules', () => {
+  it('answers a resend near its deadline from the stored answer', async () => {
+    // Guards against "overloaded, not run" for a caller whose answer is stored at an instance. A request
+    // with a key is answered at 2.5 s, and its caller resends it to two instances 0.8 s before its deadline,
+    // less than a run takes. It failed when admission was checked before the claim.
+    const events = await runAndCheckAllRules({
       seed: 1,
       requests: [
         { work: 'keyed-model', at: 800, tokens: 58, instance: 1 },
@@ -32,13 +32,13 @@
     expect(answered).to.have.length(4);
   });
 
-  it('keeps to the highest revision over a restart after a cut', async () => {
-    // Symptom: an instance serves revision 1 for 38 ms after it had 3.
-    // Sequence: a domain is cut off while revisions are accepted; an instance outside it is stopped and
-    // starts again when the cut has healed, before the cut domain's instances read the platform.
-    // Cause: a start took the highest answer once all peers that it asked had answered, and had asked
-    // enough peers of the domain that was cut off; it did not wait for the platform, which is up.
-    await holdToAllRules({
+  it('keeps the highest revision across a restart after a domain cut', async () => {
+    // Guards against an instance that serves revision 1 for 38 ms after it had 3. A domain is cut off while
+    // revisions are accepted. An instance outside it is stopped, and restarts after the cut has ended but
+    // before the instances of that domain read the platform. The fault: a starting instance took the highest
+    // revision once all queried peers had replied, enough of them in the domain that was cut off, without
+    // waiting for the platform, which was available.
+    await runAndCheckAllRules({
       seed: 1,
       requests: [],
       changes: [5737, 4253, 4837],
--- a/packages/proof/src/__tests__/unit/OrdersModel.test.ts
+++ b/packages/proof/src/__tests__/unit/OrdersModel.test.ts
@@ -16,8 +16,8 @@
 } from '@skylarksail/placement/PlacementOrderTypes';
 import { simulateSpec } from './SpinTraces.js';
 
-// Spin's random simulations of orders.pml, replayed step for step against PlacementOrders. The committed
-// traces are always replayed; where Spin is installed, they are made anew and compared, and more replayed.
+// Replays Spin's random simulations of orders.pml step by step against PlacementOrders. The committed traces
+// are always replayed. Where Spin is installed, they are also regenerated and compared, and new ones replayed.
 
 const SPECS = new URL('../../../specs/', import.meta.url);
 const COMMITTED_SEEDS = [1, 2, 3, 4];
@@ -52,14 +52,14 @@
 };
 
 interface Replay {
-  readonly isChecking: boolean;
+  readonly isFencingChecked: boolean;
   readonly states: Map<number, OrdersState>;
   readonly contexts: Map<number, OrdersContext>;
   /** Effects of the last step. */
   readonly effects: OrdersEffect[];
 }
 
-/** What a holder wants, or an engine holds, as the specification numbers it; 0 is nothing. */
+/** Creates the holding that the specification denotes by a number; 0 denotes no holding. */
 function createHolding(want: number): Holding | null {
   const layers = { first: 0, end: 1 };
   return want === 0
@@ -90,8 +90,8 @@
   replay.effects.splice(0, Infinity, ...next.effects);
 }
 
-/** Lets the machine look at its lease and at the time, and do nothing else. */
-function look(replay: Replay, o: number, change: Partial<OrdersContext>): void {
+/** Changes the time or the lease, and runs a step without moves, so that only the change has an effect. */
+function updateContext(replay: Replay, o: number, change: Partial<OrdersContext>): void {
   replay.contexts.set(o, { ...getContext(replay, o), ...change });
   step(replay, o, { kind: 'planned', moves: [], unfencedEngines: new Set() });
 }
@@ -99,13 +99,13 @@
 function runStep(replay: Replay, name: string, [o = 0, a = 0, b = 0, c = 0]: number[]): void {
   switch (name) {
     case 'gain':
-      look(replay, o, { lease: { fencing: a } });
+      updateContext(replay, o, { lease: { fencing: a } });
       break;
     case 'lose':
-      look(replay, o, { lease: null });
+      updateContext(replay, o, { lease: null });
       break;
     case 'pass':
-      look(replay, o, { now: getContext(replay, o).now + TICK });
+      updateContext(replay, o, { now: getContext(replay, o).now + TICK });
       break;
     case 'read': {
       const load: EngineLoad = {
@@ -124,8 +124,8 @@
     case 'send': {
       const want = createHolding(o + 1);
       const move = { engine: ENGINE, want, reason: 'join', bytes: 0 } as const;
-      const unchecking = new Set(replay.isChecking ? [] : [ENGINE]);
-      step(replay, o, { kind: 'planned', moves: [move], unfencedEngines: unchecking });
+      const withoutFencing = new Set(replay.isFencingChecked ? [] : [ENGINE]);
+      step(replay, o, { kind: 'planned', moves: [move], unfencedEngines: withoutFencing });
       const sent = replay.effects.find((effect) => effect.kind === 'send-order');
       expect(sent?.order.number, 'the machine sends where the specification does').to.equal(
         toCoreNumber(a),
@@ -151,7 +151,7 @@
   }
 }
 
-/** Compares a holder with the line that the specification printed after its step. */
+/** Compares a lease holder's state with the STATE line that the specification printed after the step. */
 function checkState(replay: Replay, line: readonly number[], where: string): void {
   const [o = 0, fencing, order, isUnknown, settled, holding = 0] = line;
   const state = getState(replay, o);
@@ -168,59 +168,68 @@
   ).to.deep.equal({ fencing, order, isUnknown, settled, holding: createHolding(holding) });
 }
 
-function replayTrace(trace: string, isChecking: boolean): Map<string, number> {
-  const replay: Replay = { isChecking, states: new Map(), contexts: new Map(), effects: [] };
+function replayTrace(trace: string, isFencingChecked: boolean): Map<string, number> {
+  const replay: Replay = {
+    isFencingChecked,
+    states: new Map(),
+    contexts: new Map(),
+    effects: [],
+  };
   const steps = new Map<string, number>();
   trace.split('\n').forEach((text, number) => {
-    const [kind, ...words] = text.trim().split(/\s+/);
+    const [kind, ...fields] = text.trim().split(/\s+/);
     if (kind === 'STEP') {
-      const name = words[0] ?? '';
-      runStep(replay, name, words.slice(1).map(Number));
+      const name = fields[0] ?? '';
+      runStep(replay, name, fields.slice(1).map(Number));
       steps.set(name, (steps.get(name) ?? 0) + 1);
     } else if (kind === 'STATE') {
-      checkState(replay, words.map(Number), `line ${number + 1} of the trace`);
+      checkState(replay, fields.map(Number), `line ${number + 1} of the trace`);
     }
   });
   return steps;
 }
 
-/** Seeds of odd number simulate an engine that checks numbers. */
-function isCheckingSeed(seed: number): boolean {
+/** Odd seeds simulate an engine that checks fencing numbers. */
+function isFencingCheckedSeed(seed: number): boolean {
   return seed % 2 === 1;
 }
 
 function simulate(seed: number): string | null {
   const bounds = ['MAX_FENCING=60', 'MAX_COUNT=3', 'MAX_LOST=40', 'TTL=9', 'ORDERLY=1', 'PAUSES=1'];
-  const macros = [...bounds, `CHECKS=${Number(isCheckingSeed(seed))}`].map((macro) => `-D${macro}`);
+  const macros = [...bounds, `CHECKS=${Number(isFencingCheckedSeed(seed))}`].map(
+    (macro) => `-D${macro}`,
+  );
   const options = [`-n${seed}`, '-u4000', '-T', ...macros];
   return simulateSpec(options, new URL('orders.pml', SPECS));
 }
 
-function readTrace(seed: number): string {
+function readCommittedTrace(seed: number): string {
   return readFileSync(new URL(`traces/orders-${seed}.txt`, SPECS), 'utf8');
 }
 
 describe('the specification orders.pml and PlacementOrders', () => {
-  it('agree on every step of the committed traces, which have every step', () => {
+  it('agree on every step of the committed traces, which contain all kinds of steps', () => {
     const seen = new Set<string>();
     COMMITTED_SEEDS.forEach((seed) =>
-      replayTrace(readTrace(seed), isCheckingSeed(seed)).forEach((_, name) => seen.add(name)),
+      replayTrace(readCommittedTrace(seed), isFencingCheckedSeed(seed)).forEach((_, name) =>
+        seen.add(name),
+      ),
     );
     expect([...seen].sort()).to.deep.equal(
       ['answer', 'gain', 'lose', 'pass', 'read', 'send', 'unknown'].sort(),
     );
   });
 
-  it('agree on new traces, and the committed ones are those of the specification', function test() {
+  it('agree on new traces, and the committed traces match the specification', function test() {
     if (simulate(1) === null) {
-      // Said by the model check too: without Spin the traces cannot be made anew.
+      // Traces cannot be regenerated without Spin; the model check reports this too.
       this.skip();
     }
-    COMMITTED_SEEDS.forEach((seed) => expect(simulate(seed)).to.equal(readTrace(seed)));
+    COMMITTED_SEEDS.forEach((seed) => expect(simulate(seed)).to.equal(readCommittedTrace(seed)));
     FURTHER_SEEDS.forEach((seed) => {
       const trace = simulate(seed);
       expect(trace, `trace ${seed}`).to.match(/STEP/);
-      replayTrace(trace ?? '', isCheckingSeed(seed));
+      replayTrace(trace ?? '', isFencingCheckedSeed(seed));
     });
   });
 });
--- a/packages/proof/src/__tests__/unit/PlacementManifests.test.ts
+++ b/packages/proof/src/__tests__/unit/PlacementManifests.test.ts
@@ -5,7 +5,8 @@
 import { planPlacement } from '@skylarksail/placement/PlacementPlan';
 import type { PlacementManifest } from '@skylarksail/placement/PlacementTypes';
 
-// The firms' own manifests with some thirteen engines a domain of the kinds that they name.
+// Plans the placement of the firms' own manifests with thirteen engines for each domain, of the accelerator
+// kinds that each manifest lists.
 
 const MANIFESTS = new URL('../../../../../manifests/', import.meta.url);
 const ENGINES_PER_DOMAIN = 13;
@@ -41,7 +42,7 @@
 
 describe("placement of the firms' manifests", () => {
   for (const name of ['pnw', 'tt-north']) {
-    it(`gives each domain its minimums and comes near the bound: ${name}`, () => {
+    it(`meets each domain's minimum rates and uses over 90% of its engines' decode rate: ${name}`, () => {
       const manifest = readManifest(name);
       manifest.domains.forEach(({ id: domain, serves }) => {
         const facts = createEngines(name, domain);
--- a/packages/proof/src/__tests__/unit/SpinTraces.ts
+++ b/packages/proof/src/__tests__/unit/SpinTraces.ts
@@ -1,13 +1,13 @@
-/** Random simulations of a specification by Spin, for the tests that replay them against the code. */
+/** Runs Spin's random simulations of a specification, for tests that replay them against the code. */
 import { execFileSync } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
 /**
- * The steps and states that Spin prints for these options; null if it cannot be run. Spin writes a temporary
- * file of one name into the folder where it runs: in a folder shared with another run of the checks, more than
- * half of all traces were empty.
+ * Returns the steps and states that Spin prints for the options; null if Spin cannot be run. Spin writes a
+ * temporary file with a fixed name into its working folder, so each run gets a folder of its own: in a folder
+ * shared with another run of the checks, more than half of all traces were empty.
  */
 export function simulateSpec(options: readonly string[], spec: URL): string | null {
   const folder = mkdtempSync(join(tmpdir(), 'skylarksail-trace-'));
