--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -28,22 +28,22 @@
   // The house style asks for named exports only.
   'import-x/prefer-default-export': 'off',
   'import-x/no-default-export': 'error',
-  // Compiled ES modules name their files with the extension; the TypeScript compiler checks each path.
+  // Imports of compiled ES modules include the file extension; the TypeScript compiler checks each path.
   'import-x/extensions': 'off',
   'import-x/no-unresolved': 'off',
   'import-x/no-extraneous-dependencies': 'off',
   'import-x/no-rename-default': 'off',
-  // One loop on one thread: waiting in turn inside a loop is often the point.
+  // Awaiting one call after another in a loop is often intended.
   'no-await-in-loop': 'off',
-  // Iterators are native on every supported Node, which was the reason for the rule.
+  // The rule bans iterators, which need a polyfill on old runtimes; every supported Node has them natively.
   'no-restricted-syntax': 'off',
   'no-continue': 'off',
   'no-plusplus': ['error', { allowForLoopAfterthoughts: true }],
-  // Functions are hoisted; the public ones come first in a module and their parts follow.
+  // Functions are hoisted; in a module the exported ones come first, followed by their helpers.
   'no-use-before-define': 'off',
   '@typescript-eslint/no-use-before-define': ['error', { functions: false }],
   'no-void': ['error', { allowAsStatement: true }],
-  // The rule does not see that classes made by modern-errors are errors.
+  // The rule does not recognize classes created by modern-errors as errors.
   '@typescript-eslint/only-throw-error': 'off',
   // Nest's modules and controllers are classes by design, some of them without members.
   '@typescript-eslint/no-extraneous-class': 'off',
@@ -68,7 +68,7 @@
     rules: { 'import-x/no-default-export': 'off', 'no-console': 'off' },
   },
   {
-    // The names of the users' platform are decoded in platform/ and nowhere else.
+    // Names that the platform defines are encoded and decoded in platform/ only.
     files: ['packages/*/src/**/*.ts'],
     rules: {
       'no-restricted-syntax': [
@@ -86,7 +86,7 @@
     },
   },
   {
-    // Chai's assertions are property reads.
+    // Many of Chai's assertions are property reads, which these rules would report as unused.
     files: ['**/__tests__/**'],
     rules: { '@typescript-eslint/no-unused-expressions': 'off', 'no-unused-expressions': 'off' },
   },
--- a/packages/manifest/bin/write-schema.mjs
+++ b/packages/manifest/bin/write-schema.mjs
@@ -1,4 +1,4 @@
-/** Writes schema/manifest.schema.json anew; run it after a change of ManifestSchema and commit both. */
+/** Regenerates schema/manifest.schema.json. Run it after changing ManifestSchema, and commit both. */
 import { URL } from 'node:url';
 import { writeFileSync } from 'node:fs';
 import { format, resolveConfig } from 'prettier';
--- a/packages/proof/bin/check-models.mjs
+++ b/packages/proof/bin/check-models.mjs
@@ -1,6 +1,7 @@
 /**
- * Checks the specifications with Spin. Right ones must verify, seeded mistakes must be caught. Without
- * Spin or a C compiler it says that nothing was checked, and fails if REQUIRE_MODEL_CHECKER is 1.
+ * Checks the specifications with Spin: correct ones must verify without errors, seeded mistakes must violate
+ * an assertion. Without Spin or gcc, the script prints that nothing was checked, and fails if
+ * REQUIRE_MODEL_CHECKER is 1.
  */
 import { execFile, execFileSync } from 'node:child_process';
 import console from 'node:console';
@@ -27,7 +28,7 @@
   }
 }
 
-/** Compiles and runs the checker for one run of the table; gives what its report says. */
+/** Generates, compiles and runs Spin's verifier for one run of the table, and returns the parsed report. */
 async function verify({ spec, defines }) {
   const folder = await mkdtemp(join(tmpdir(), 'skylarksail-model-'));
   try {
@@ -50,7 +51,7 @@
     errors: Number(/errors: (\d+)/.exec(report)?.[1] ?? Number.NaN),
     states: Number(/(\d+) states, stored/.exec(report)?.[1] ?? Number.NaN),
     isAssertion: report.includes('assertion violated'),
-    // Exhaustive means: nothing was cut off, by depth or by memory.
+    // Whether the search was exhaustive: neither the depth limit nor memory cut it short.
     isWhole: !/Search not completed|max search depth too small|out of memory/.test(report),
   };
 }
--- a/packages/proof/bin/known-red.mjs
+++ b/packages/proof/bin/known-red.mjs
@@ -1,6 +1,7 @@
 /**
- * Mocha's plugin for KNOWN-RED.txt: passes over the tests listed there, prints the list after the run, and
- * fails a run whose list is wrong. Entries that fit no test are found in a whole run only.
+ * Mocha plugin for KNOWN-RED.txt, the list of known failures: skips the listed tests, prints the list after
+ * the run, and fails the run if the list has errors. Entries that match no test are detected in a full run
+ * only.
  */
 import console from 'node:console';
 import { readFileSync } from 'node:fs';
@@ -18,14 +19,14 @@
   return [...suite.tests, ...suite.suites.flatMap(collectTests)];
 }
 
-/** Whether no test file was left out. */
+/** Whether the tests come from all test files. */
 function hasAllFiles(tests) {
   const { spec } = JSON.parse(readFileSync(join(ROOT, '.mocharc.json'), 'utf8'));
   const loaded = new Set(tests.map(({ file }) => file));
   return spec.flatMap((pattern) => lookupFiles(join(ROOT, pattern))).every((f) => loaded.has(f));
 }
 
-/** Keeps the titles of a whole run. Mocha's runner is `this`, except while it watches files. */
+/** Stores all test titles if the run is a full one. `this` is Mocha's runner, except in watch mode. */
 export function mochaGlobalSetup() {
   const tests = this.suite ? collectTests(this.suite) : [];
   if (this.total === tests.length && hasAllFiles(tests)) {
@@ -33,7 +34,7 @@
   }
 }
 
-/** Passes over the listed tests, which Mocha then shows as pending. */
+/** Skips the listed tests; Mocha reports them as pending. */
 export const mochaHooks = {
   beforeEach() {
     if (knownRed.has(this.currentTest.fullTitle())) {
@@ -42,7 +43,7 @@
   },
 };
 
-/** Prints the list; what is thrown here makes the run fail. */
+/** Prints the list, and fails the run by throwing if the list has errors. */
 export function mochaGlobalTeardown() {
   if (entries.length > 0) {
     console.log(`KNOWN-RED.txt, faults that stay for now: ${entries.length}`);
--- a/packages/proof/bin/models.mjs
+++ b/packages/proof/bin/models.mjs
@@ -1,7 +1,7 @@
 /**
- * The specifications that are checked. A run names a file of specs/, its bounds as macros, and what must
- * come of it: 'right' must verify without an error, 'mistake' must be caught by an assertion.
- * To add a specification: put its .pml into specs/ and its runs into this table.
+ * The runs of the model checker. A run names a file of specs/, the macros to define (bounds, options and a
+ * seeded mistake), and the expected result: 'right' must verify without errors, 'mistake' must violate an
+ * assertion. To add a specification, put its .pml into specs/ and its runs into this table.
  */
 export const MODEL_RUNS = [
   {
--- a/packages/proof/specs/claim.pml
+++ b/packages/proof/specs/claim.pml
@@ -1,32 +1,35 @@
 /*
- * The claim of a keyed request: one slot, one key, two owners and two requests that want the key.
+ * The claim of a keyed request: one claim slot, one key, two owners and two requests with that key. An
+ * owner is an instance that may acquire the slot.
  *
- * Every step is what one event does to the state machine ClaimSlot (docs/PROOF.md names the functions).
- * The platform keeps one head: revision, epoch, claim, and the write that stored it. A write may be
- * applied at any time after it was sent, also after its owner gave it up, and its answer may be lost.
- * Owners are paused by the checker's free choice of the next step.
+ * Each step applies one event to the state machine ClaimSlot (docs/PROOF.md maps steps to functions).
+ * The platform stores one head: revision, epoch, claim, and the write that stored it. A write may be
+ * applied at any time after it was sent, even after its owner stopped waiting for it, and its answer may
+ * be lost. The checker may delay the next step of an owner by any time, which models a paused owner.
  *
- * Checked: at most one request is dispatched, and none that was told "not run".
+ * Checked: at most one request is dispatched, and none that was reported as "not run".
  *
- * Seeded mistakes, each of which must be caught:
- *   MISTAKE_NO_REREAD        after losing a swap the owner goes on from the new revision with what it
- *                            believed before
- *   MISTAKE_GRANT_ON_UNKNOWN a swap without an answer is taken to have won
- *   MISTAKE_RELEASE_FOUND    an ask that runs out of time at an owner releases a claim found in the head
- *   MISTAKE_SILENT_IS_NEVER  a holder that does not reply is taken to have given up
- *   MISTAKE_LATE_GRANT       a request told "not run" is dispatched when its grant comes after all
+ * Seeded mistakes, each of which must violate an assertion:
+ *   MISTAKE_NO_REREAD        after losing a swap, the owner adopts the new revision but keeps the epoch
+ *                            and the claim that it had before
+ *   MISTAKE_GRANT_ON_UNKNOWN a swap without an answer is treated as successful
+ *   MISTAKE_RELEASE_FOUND    a claim request that times out at an owner releases its claim even if the
+ *                            owner did not write that claim but found it in the head
+ *   MISTAKE_SILENT_IS_NEVER  a claim holder that does not reply is treated as having given up
+ *   MISTAKE_LATE_GRANT       a request that was reported as "not run" is dispatched when a late grant
+ *                            arrives
  */
 #ifndef MAX_REVISION
 #define MAX_REVISION 5
 #endif
 
-/* Swaps whose answer an owner never gets, in the whole run. */
+/* Limit of swaps without an answer, over both owners and the whole run. */
 #ifndef MAX_UNANSWERED
 #define MAX_UNANSWERED 2
 #endif
 
 #define OWNERS 2
-#define WRITES 2              /* writes of one owner that may be under way or in doubt */
+#define WRITES 2              /* writes of one owner that may be in flight or unconfirmed */
 #define SLOT(o, w) ((o) * WRITES + (w))
 #define NOBODY 0
 #define BIT(a) (1 << (a))
@@ -34,13 +37,13 @@
 
 /* States of a write. */
 #define FREE 0
-#define FLIGHT 1              /* sent; the owner waits */
-#define LATE 2                /* the owner gave it up; it may still be applied */
-#define DONE 3                /* applied; the answer is under way */
-#define CONFLICT 4            /* refused; the answer is under way */
-#define GONE 5                /* can no longer be applied, but the owner cannot know */
+#define FLIGHT 1              /* sent; the owner waits for the answer */
+#define LATE 2                /* the owner stopped waiting; it may still be applied */
+#define DONE 3                /* applied; the answer is in flight */
+#define CONFLICT 4            /* refused; the answer is in flight */
+#define GONE 5                /* can have no further effect, but the owner cannot know that */
 
-/* Phases of a slot at an owner; loading of sealed segments is part of taking here. */
+/* Phases of the slot at an owner. TAKING includes the loading of sealed segments. */
 #define IDLE 0
 #define TAKING 1
 #define HELD 2
@@ -48,11 +51,11 @@
 /* States of a request. */
 #define ASKING 0
 #define RAN 1
-#define GAVE_UP 2             /* told "not run"; never dispatched from here on */
+#define GAVE_UP 2             /* reported as "not run"; must never be dispatched */
 
 typedef Write { byte state; byte expected; byte epoch; byte claim; bit doubtful };
 
-/* The platform's head. */
+/* The head that the platform stores. `writer` is the index in `writes` of the write that stored it; 255: none. */
 byte revision = 0; byte epoch = 0; byte claim = NOBODY; byte writer = 255;
 Write writes[4];
 
@@ -62,8 +65,8 @@
 };
 Owner owners[OWNERS];
 
-byte request[3];              /* 1 and 2 */
-byte grants = 0;              /* grants on their way to a request */
+byte request[3];              /* states of requests 1 and 2; entry 0 is unused */
+byte grants = 0;              /* bit set of the requests that a grant is in flight to */
 byte dispatched = 0;
 byte unanswered = 0;
 
@@ -100,7 +103,10 @@
   close_doubts(o)
 }
 
-/* A write that only this owner's new use of its place could be mistaken for gets no name any more. */
+/*
+ * Sends a write in a free entry. If the head was stored by the entry's previous write, `writer` is cleared,
+ * so that the new write is not mistaken for the one that stored the head.
+ */
 inline send_write(o, newEpoch, newClaim) {
   if
   :: writes[SLOT(o, 0)].state == FREE -> w = 0
@@ -121,12 +127,12 @@
   owners[o].revision < MAX_REVISION && \
   (writes[SLOT(o, 0)].state == FREE || writes[SLOT(o, 1)].state == FREE))
 #define IS_FREED(o) (owners[o].claim == NOBODY || HAS(owners[o].released, owners[o].claim))
-/* A write under way or in doubt that would put in the ask's claim. */
+/* Whether a write that is in flight or unconfirmed would add the claim of request `a`. */
 #define PUTS_IN(o, w, a) (writes[SLOT(o, w)].claim == (a) && owners[o].claim != (a) && \
   (writes[SLOT(o, w)].doubtful || writes[SLOT(o, w)].state == FLIGHT || \
    writes[SLOT(o, w)].state == DONE || writes[SLOT(o, w)].state == CONFLICT))
 
-/* Told in simulations only; the replay against ClaimSlot reads these lines. */
+/* Printed in simulations only; ClaimModel.test.ts replays these lines against ClaimSlot. */
 #define SHOW(o) printf("STATE %d %d %d %d %d %d %d %d\n", o, owners[o].phase, owners[o].isKnown, \
   owners[o].revision, owners[o].epoch, owners[o].claim, owners[o].waiting, owners[o].released)
 
@@ -144,11 +150,11 @@
   byte a; byte w; byte chosen;
 end:
   do
-  /* An ask comes in: the first, one sent again, or a copy that is late by any time. */
+  /* A claim request arrives: the first one, a retry, or a copy delayed by any time. */
   :: d_step { CAN_ASK(o, 1) -> take_ask(o, 1); printf("STEP ask %d 1\n", o); SHOW(o) }
   :: d_step { CAN_ASK(o, 2) -> take_ask(o, 2); printf("STEP ask %d 2\n", o); SHOW(o) }
 
-  /* An ask is answered from the known head. */
+  /* All waiting claim requests are answered from the known head. */
   :: d_step { owners[o].phase == HELD && owners[o].waiting != 0 && !IS_FREED(o) ->
       if
       :: HAS(owners[o].waiting, owners[o].claim) -> grants = grants | BIT(owners[o].claim)
@@ -156,7 +162,7 @@
       fi;
       owners[o].waiting = 0; printf("STEP answer %d\n", o); SHOW(o) }
 
-  /* An ask runs out of time. */
+  /* A claim request times out. */
   :: atomic { owners[o].waiting != 0 && !(owners[o].phase == HELD && !IS_FREED(o)) ->
       if
       :: HAS(owners[o].waiting, 1) -> a = 1
@@ -174,7 +180,7 @@
 #endif
       printf("STEP expire %d %d\n", o, a); SHOW(o); a = 0 }
 
-  /* The holder of the claim says that it was never dispatched, or its release comes in. */
+  /* The holder of the claim replies that it was never dispatched, or its release arrives. */
   :: d_step { owners[o].phase == HELD && owners[o].claim != NOBODY &&
 #ifdef MISTAKE_SILENT_IS_NEVER
         request[owners[o].claim] != ASKING &&
@@ -186,7 +192,8 @@
       owners[o].waiting = owners[o].waiting & ~BIT(owners[o].claim);
       printf("STEP release %d %d\n", o, owners[o].claim); SHOW(o) }
 
-  /* The head is read. What follows may come any time later, so a stale answer needs no step. */
+  /* The head is read and the result is applied in one step. The next steps may be delayed by any time,
+     which covers a result that is stale on arrival. */
   :: d_step { owners[o].phase != IDLE && owners[o].needsRead && !IS_CALLING(o) ->
       if
       :: (writer == SLOT(o, 0) || writer == SLOT(o, 1)) && writes[writer].doubtful ->
@@ -211,12 +218,12 @@
       fi;
       printf("STEP read %d\n", o); SHOW(o) }
 
-  /* The slot is taken by a swap that raises the epoch and keeps the claim. */
+  /* The owner sends the swap that acquires the slot: it increments the epoch and keeps the claim. */
   :: d_step { owners[o].phase == TAKING && CAN_WRITE(o) ->
       send_write(o, owners[o].epoch + 1, owners[o].claim);
       printf("STEP take %d %d\n", o, w); SHOW(o); w = 0 }
 
-  /* A batch: a claim put in, or a released one taken out. */
+  /* The owner sends a batch: a swap that adds a claim, removes a released one, or does both. */
   :: atomic { owners[o].phase == HELD && CAN_WRITE(o) && IS_FREED(o) &&
         (owners[o].waiting != 0 || owners[o].claim != NOBODY) ->
       if
@@ -227,7 +234,7 @@
       send_write(o, owners[o].epoch, chosen);
       printf("STEP batch %d %d %d\n", o, w, chosen); SHOW(o); w = 0; chosen = 0 }
 
-  /* The swap's answer comes. */
+  /* The answer to the swap arrives. */
   :: d_step { writes[SLOT(o, 0)].state == DONE || writes[SLOT(o, 1)].state == DONE ->
       chosen = (writes[SLOT(o, 0)].state == DONE -> 0 : 1);
       adopt(o, writes[SLOT(o, chosen)].expected + 1, writes[SLOT(o, chosen)].epoch,
@@ -239,7 +246,7 @@
       free_write(SLOT(o, w)); owners[o].needsRead = 1;
       printf("STEP conflict %d %d\n", o, w); SHOW(o); w = 0 }
 
-  /* The owner gives up waiting for the swap's answer. */
+  /* The owner stops waiting for the answer to the swap. */
   :: atomic { IS_CALLING(o) && unanswered < MAX_UNANSWERED ->
       unanswered++;
       w = ((writes[SLOT(o, 0)].state == FLIGHT || writes[SLOT(o, 0)].state == DONE ||
@@ -265,8 +272,8 @@
 }
 
 /*
- * Applies writes that were sent, in any order, or loses them. Late writes that the revision has passed
- * are struck out at once: they could only be refused, and nobody waits for that answer.
+ * The platform applies sent writes in any order, refuses them, or loses them. When the revision changes,
+ * LATE writes end at once: they could only be refused, and no owner waits for the answer.
  */
 #define CAN_ARRIVE(s) (writes[s].state == FLIGHT || writes[s].state == LATE)
 
@@ -310,7 +317,8 @@
   :: d_step { request[a] == ASKING && HAS(grants, a) ->
       grants = grants & ~BIT(a); request[a] = RAN; dispatched++;
       assert(dispatched <= 1) }
-  /* Out of time, told that another has the key, or granted and then proven not to have run. */
+  /* The request gives up: it timed out, another request holds the key, or it was granted the key but is
+     known not to have been dispatched. */
   :: d_step { request[a] == ASKING -> request[a] = GAVE_UP }
 #ifdef MISTAKE_LATE_GRANT
   :: d_step { request[a] == GAVE_UP && HAS(grants, a) -> request[a] = RAN; dispatched++;
--- a/packages/proof/specs/manifest-accept.pml
+++ b/packages/proof/specs/manifest-accept.pml
@@ -1,30 +1,31 @@
 /*
- * Acceptance of the manifest. Submitters race through one compare-and-swap of the root whose call or
- * answer may be lost, or which lands late, after any time; each sends its submission again under the
- * same id. docs/proof/manifest.md maps each step, named by its comment, to the code.
+ * Acceptance of the manifest. Submitters compete to replace the root by a compare-and-swap, whose call or
+ * answer may be lost and which may be applied after any delay. If the outcome stays unknown, a submitter
+ * sends its submission again under the same id. Comments name the steps; docs/proof/manifest.md maps them
+ * to the code.
  *
- * Checked: a submission takes effect at most once; what a submitter reports is true and stays true, a
- * refusal included.
+ * Checked: a submission takes effect at most once; an acceptance or refusal that a submitter reports is
+ * correct and stays so.
  *
- * Seeded mistakes: -DBLIND_RETRY (after an unknown outcome, swap again from the root as it is now),
- * -DTRUST_UNCHANGED (take an unchanged root for proof that the lost write had no effect),
- * -DNO_HISTORY (take every lost swap for somebody else's win).
+ * Seeded mistakes: -DBLIND_RETRY (after an unknown outcome, swap again from the current root),
+ * -DTRUST_UNCHANGED (treat an unchanged root as proof that the lost write has no effect),
+ * -DNO_HISTORY (treat every conflict as caused by another submitter, without a look at the history).
  */
 #ifndef SUBMITTERS
-#define SUBMITTERS 2 /* or 3: some 20 seconds */
+#define SUBMITTERS 2 /* with 3, a run takes about 20 seconds */
 #endif
 #define MAX_REVISION 4
-#define MAX_ROUNDS 2 /* sendings of one submission id */
-#define MAX_TRIES 2  /* swaps of one sending */
+#define MAX_ROUNDS 2 /* how often a submitter sends its submission */
+#define MAX_TRIES 2  /* swaps for each time that it is sent */
 
 mtype = { DONE, CONFLICT, UNKNOWN };
 
 /* The platform. */
 byte root = 0;
-byte history[MAX_REVISION + 1];   /* submitter + 1 that made a revision */
-byte late[SUBMITTERS * MAX_ROUNDS]; /* expected revision + 1 of writes on their way */
+byte history[MAX_REVISION + 1];   /* submitter + 1 that made each revision; 0: none */
+byte late[SUBMITTERS * MAX_ROUNDS]; /* expected revision + 1 of each write in flight; 0: none */
 
-/* What submitters reported. */
+/* Whether a submitter reported a refusal. */
 bool refused[SUBMITTERS];
 
 inline find_own(me, found) {
--- a/packages/proof/specs/manifest-spread.pml
+++ b/packages/proof/specs/manifest-spread.pml
@@ -1,15 +1,16 @@
 /*
- * Spread of the manifest. Three instances learn of accepted revisions from the platform and from each
- * other, put them into force, and restart, at most one at a time, also while the platform is out. How
- * a revision is accepted is in manifest-accept.pml; here the root rises by one.
- * docs/proof/manifest.md maps each step, named by its comment, to the code.
+ * Spread of the manifest. Three instances get accepted revisions from the platform and from each other,
+ * put them into force, and restart, at most one at a time, also during outages of the platform. How a
+ * revision is accepted is specified in manifest-accept.pml; here the root's revision is only incremented.
+ * Comments name the steps; docs/proof/manifest.md maps them to the code.
  *
  * Checked: no instance, over all its processes, puts a lower revision into force than it had before.
  *
- * Seeded mistakes: -DTRUST_ONE_PEER (a start ends with the first peer's answer), -DAPPLY_ALONE (a
- * revision comes into force that no other instance holds yet), -DAPPLY_LOWER (a peer's revision is
- * taken without a look at which is higher), -DSTALE_KEEPER (a keeper's word counts that it gave before
- * this instance held the revision; the keeper may have restarted since and lost it).
+ * Seeded mistakes: -DTRUST_ONE_PEER (a starting instance uses the first peer's answer without waiting for
+ * the other), -DAPPLY_ALONE (a revision comes into force before another instance holds it),
+ * -DAPPLY_LOWER (a peer's revision is adopted even if it is lower), -DSTALE_KEEPER (a keeper's
+ * confirmation counts that was sent before this instance held the revision; the keeper may have restarted
+ * since and lost it).
  */
 #define INSTANCES 3
 #define MAX_REVISION 3
@@ -20,12 +21,12 @@
 bool up = true;
 byte outages = 0;
 
-/* What an instance holds is lost in a restart; `highest` is only for the check. */
+/* An instance loses its state in a restart, except `highest`, which serves only the check. */
 byte held[INSTANCES];
-byte kept[INSTANCES];     /* revision that a keeper said it holds too */
+byte kept[INSTANCES];     /* revision that a keeper confirmed that it holds */
 byte in_force[INSTANCES];
 byte highest[INSTANCES];
-byte down = 0;            /* instance + 1 that is starting */
+byte down = 0;            /* instance + 1 that is starting; 0: none */
 byte restarts = 0;
 
 /* step: accept */
@@ -45,7 +46,7 @@
   od
 }
 
-/* Only what a keeper answers after this instance holds the revision counts: see STALE_KEEPER. */
+/* A keeper's confirmation counts only if sent after this instance held the revision: see STALE_KEEPER. */
 inline forget_keeper(me) {
 #ifndef STALE_KEEPER
   kept[me] = 0
@@ -69,7 +70,7 @@
   do
   /* step: learn-platform */
   :: atomic { up && root > held[me] -> held[me] = root; forget_keeper(me) }
-  /* A fetch that began before the last acceptance ends with an older revision. */
+  /* A fetch that started before the last acceptance returns an older revision. */
   :: atomic { up && root > held[me] -> held[me]++; forget_keeper(me) }
   /* step: learn-peer */
 #ifdef APPLY_LOWER
--- a/packages/proof/specs/orders.pml
+++ b/packages/proof/specs/orders.pml
@@ -1,23 +1,28 @@
 /*
- * Orders of placement: one lease, two instances that want different things, one engine.
+ * Orders of placement: one lease, and two instances that want different holdings on one engine. A holder
+ * is an instance that holds the lease or may acquire it.
  *
- * Every step of a holder is what one event does to the machine PlacementOrders (docs/proof/orders.md names
- * the functions). An order is made at a look at the lease and leaves the process at a later step, WRITE;
- * with PAUSES any time may pass between the two. Calls and answers may be lost; reports are old by up to
- * LAG ticks. CHECKS: the engine refuses an order whose number is lower than the highest that it took.
+ * Each step of a holder applies one event to the state machine PlacementOrders (docs/proof/orders.md maps
+ * steps to functions). An order is made in a step that first reads the lease, and leaves the process in a later
+ * step (MADE to FLIGHT); with PAUSES any time may pass between the two. Calls and answers may be lost;
+ * reports are up to LAG ticks old. With CHECKS the engine refuses an order whose number is lower than the
+ * highest that it accepted.
  *
- * Checked: what a holder takes for done was done. Without PAUSES, or with CHECKS, an engine never takes an
- * order of an older lease after one of a newer. With URGENT and no loss, the engine holds what the holder of
- * the lease wants within WINDOW ticks, whatever late orders do.
+ * Checked: an order that a holder treats as done was accepted by the engine. Without PAUSES, or with CHECKS,
+ * an engine never accepts an order of an older lease after one of a newer lease. With URGENT (no tick passes
+ * while a holder has work to do) and no loss, the engine has the holding that the holder of the lease wants
+ * within WINDOW ticks, even if orders arrive late.
  *
- * Seeded mistakes, each of which must be caught:
- *   MISTAKE_LATE_DEADLINE   the holder counts its lease from an answer that came late, and keeps no margin
- *   MISTAKE_NO_QUIET        a successor sends at once to an engine that ignores numbers
- *   MISTAKE_COUNT_ONLY      an order's number is a count of its holder, without the lease's fencing number
- *   MISTAKE_UNKNOWN_IS_DONE an order without an answer is taken for done
- *   MISTAKE_EARLY_REPORT    a report with a lower number is taken for proof that the order was never taken,
- *                           and with the right number settles the order whatever the engine holds
- *   MISTAKE_NO_READ_BACK    an order that was done is believed for ever, whatever the engine reports
+ * Seeded mistakes, each of which must violate an assertion:
+ *   MISTAKE_LATE_DEADLINE   the holder measures its lease from the arrival of a late answer, and keeps no
+ *                           margin
+ *   MISTAKE_NO_QUIET        a new holder sends at once, without a quiet period, to an engine that ignores
+ *                           order numbers
+ *   MISTAKE_COUNT_ONLY      an order's number is the holder's count, without the lease's fencing number
+ *   MISTAKE_UNKNOWN_IS_DONE an order without an answer is treated as done
+ *   MISTAKE_EARLY_REPORT    a report with a lower number than the order's is taken as proof that the order
+ *                           was done, and so is one with the same number, whatever the engine holds
+ *   MISTAKE_NO_READ_BACK    an order that was done is trusted forever, whatever the engine reports later
  */
 #ifndef CHECKS
 #define CHECKS 0
@@ -45,7 +50,10 @@
 #define ORDERLY 0
 #endif
 
-/* In ticks: how long an order may wait and be under way together, the age of reports, and the lease. */
+/*
+ * In ticks: LIFE, the settings `validFor` and `transit` together, within which a sent order starts or never
+ * does; LAG, the greatest age of a report; TTL, the duration of the lease.
+ */
 #define LIFE 2
 #define LAG 1
 #ifndef TTL
@@ -63,17 +71,17 @@
 #endif
 #define GIVE_UP (LIFE + LAG)
 
-#define COUNTS 4              /* numbers of one lease; as ORDERS_PER_LEASE in the code */
+#define COUNTS 4              /* order numbers per lease; ORDERS_PER_LEASE in the code */
 #define NUMBERS (COUNTS * (MAX_FENCING + 1))
 #define FENCING(n) ((n) / COUNTS)
 #define WANT(o) ((o) + 1)
 #define NOBODY 255
 
-/* States of an order on its way. */
+/* States of an order between its creation and its answer. */
 #define FREE 0
-#define MADE 1                /* made, not yet out of the process */
+#define MADE 1                /* made, but has not left the process yet */
 #define FLIGHT 2
-#define DONE 3                /* taken; the answer is under way */
+#define DONE 3                /* accepted; the answer is in flight */
 #define REFUSED 4
 
 typedef Message { byte state; byte owner; byte fencing; byte number; byte age; bit isWaited; byte highest };
@@ -84,18 +92,18 @@
   byte order; bit isUnknown; byte orderAge;           /* order 0: none */
   byte settled; byte settledAge;                      /* settled 0: none */
   byte seenHolding; byte seenNumber; byte highestSeen;
-  bit isFresh                                         /* read since the last tick */
+  bit isFresh                                         /* a report was read since the last tick */
 };
 Holder holders[2];
 
 /* The platform's lease. */
 byte leaseHolder = NOBODY; byte leaseFencing = 0; byte leaseLeft = 0;
 
-/* The engine, and the report that is under way from it. */
+/* The engine's holding and highest order number, and its latest report. */
 byte holding = 0; byte number = 0;
 byte reportHolding = 0; byte reportNumber = 0; byte reportAge = 0;
 
-/* For the checks. */
+/* Only for the checks. */
 bit taken[NUMBERS]; byte topFencing = 0; byte lost = 0; byte wrong = 0; byte wrongFor = NOBODY;
 
 #define IS_PAUSED(o) ((messages[0].state == MADE && messages[0].owner == (o)) || \
@@ -113,7 +121,7 @@
 #define NEEDS_WORK(o) (!IS_PAUSED(o) && (IS_ANSWERED(o, 0) || IS_ANSWERED(o, 1) || CAN_SEND(o) || \
   (holders[o].fencing != 0 && !holders[o].isFresh)))
 
-/* Told in simulations only; the replay against PlacementOrders reads these lines. */
+/* Printed in simulations only; OrdersModel.test.ts replays these lines against PlacementOrders. */
 #define SHOW(o) printf("STATE %d %d %d %d %d %d\n", o, holders[o].fencing, holders[o].order, \
   holders[o].isUnknown, holders[o].settled, holders[o].seenHolding)
 
@@ -142,7 +150,10 @@
   holders[o].settled = 0; holders[o].settledAge = 0
 }
 
-/* A number above our lease's, seen for the first time: somebody holds a newer one. */
+/*
+ * A fencing number above that of the holder's lease, seen for the first time, means that the other instance
+ * has acquired a newer lease.
+ */
 inline note_fencing(o, seen) {
   if
   :: seen > holders[o].highestSeen ->
@@ -199,7 +210,7 @@
   byte m;
 end:
   do
-  /* The lease is free and asked for. */
+  /* The holder acquires the free lease. */
   :: d_step { !IS_PAUSED(o) && holders[o].fencing == 0 && leaseLeft == 0 && leaseFencing < MAX_FENCING ->
       leaseFencing++; leaseHolder = o; leaseLeft = TTL;
       holders[o].fencing = leaseFencing; holders[o].safe = SAFE; holders[o].quiet = QUIET;
@@ -210,7 +221,9 @@
         leaseFencing == holders[o].fencing && leaseLeft > 0 && leaseLeft < TTL ->
       leaseLeft = TTL; holders[o].safe = SAFE }
 
-  /* A planned stop, or the duty has moved. Simulations are ORDERLY, or they would seldom see an order. */
+  /* The holder releases the lease because of a planned stop or because the duty moved. With ORDERLY it
+     first waits until a report or a done order shows the wanted holding; otherwise few simulations
+     would contain an order. */
   :: d_step { (!ORDERLY || (holders[o].hasRead && BELIEVED(o) == WANT(o))) && !IS_PAUSED(o) && holders[o].fencing != 0 && leaseHolder == o &&
         leaseFencing == holders[o].fencing && leaseLeft > 0 ->
       leaseLeft = 0; drop_lease(o); printf("STEP lose %d\n", o); SHOW(o) }
@@ -227,7 +240,7 @@
       fi;
       printf("STEP read %d %d %d\n", o, reportHolding, reportNumber); SHOW(o) }
 
-  /* The plan wants something else than the engine holds: an order is made. */
+  /* The engine's holding differs from the planned one: an order is made. */
   :: d_step { CAN_SEND(o) ->
       m = (messages[0].state == FREE -> 0 : 1);
       holders[o].count++;
@@ -241,7 +254,7 @@
       holders[o].order = messages[m].number; holders[o].isUnknown = 0; holders[o].orderAge = 0;
       printf("STEP send %d %d\n", o, messages[m].number); SHOW(o); m = 0 }
 
-  /* It leaves the process. */
+  /* The order leaves the process. */
   :: d_step { IS_PAUSED(o) ->
       m = ((messages[0].state == MADE && messages[0].owner == o) -> 0 : 1);
       messages[m].state = FLIGHT; m = 0 }
@@ -252,7 +265,7 @@
       printf("STEP answer %d %d %d %d\n", o, messages[m].number, messages[m].state, messages[m].highest);
       free_message(m); SHOW(o); m = 0 }
 
-  /* No answer comes in time: the call or the answer was lost, or is late. */
+  /* No answer arrives in time: the call or the answer is lost or late. */
   :: d_step { !IS_PAUSED(o) && holders[o].order != 0 && !holders[o].isUnknown && lost < MAX_LOST ->
       lost++;
       if
@@ -282,7 +295,7 @@
   :: CHECKS && messages[m].number < number ->
     messages[m].state = REFUSED; messages[m].highest = number
   :: else ->
-    /* The check: no order of an older lease after one of a newer. */
+    /* No order of an older lease may be accepted after one of a newer lease. */
     assert((PAUSES && !CHECKS) || messages[m].fencing >= topFencing);
     if
     :: messages[m].fencing > topFencing -> topFencing = messages[m].fencing
@@ -304,7 +317,7 @@
   do
   :: d_step { HAS_ARRIVED(0) -> take(0) }
   :: d_step { HAS_ARRIVED(1) -> take(1) }
-  /* A lost call: the holder learns nothing, `unknown` follows. */
+  /* A call is lost. Its holder stopped waiting for the answer in the step `unknown` before. */
   :: d_step { HAS_ARRIVED(0) && !messages[0].isWaited -> free_message(0) }
   :: d_step { HAS_ARRIVED(1) && !messages[1].isWaited -> free_message(1) }
   :: d_step { reportAge > 0 || reportHolding != holding || reportNumber != number ->
@@ -344,7 +357,7 @@
   fi
 }
 
-/* How long the engine has held something else than the holder of the lease wants. */
+/* Counts the ticks for which the engine's holding differs from the one that the holder of the lease wants. */
 inline count_wrong() {
   if
   :: leaseLeft > 0 && holders[leaseHolder].fencing == leaseFencing && holders[leaseHolder].quiet == 0 &&
