--- a/packages/bench/src/ConfigBench.ts
+++ b/packages/bench/src/ConfigBench.ts
@@ -73,7 +73,7 @@
   readonly in_force_p99_ms_per_doubling: number;
 }
 
-/** About the users' current seven instances first, then larger fleets up to the size expected in two years. */
+/** First about the size of the users' current seven instances, then larger, up to the size expected in two years. */
 const DEFAULT_SHAPES: readonly ConfigShape[] = [
   { domains: 3, perDomain: 2 },
   { domains: 3, perDomain: 8 },
--- a/packages/bench/src/ConfigFleet.ts
+++ b/packages/bench/src/ConfigFleet.ts
@@ -36,7 +36,7 @@
 const OUTAGE_DURATION: Millis = 6000;
 const MESSAGE_LOSS = 0.01;
 const PLATFORM_FAULTS = { lostAnswers: 0.02, lostCalls: 0.02, missedWatches: 0.05 };
-/** One change in this many comes with the fault. */
+/** Each fault is injected once per this many changes. */
 const CHANGES_PER_RESTART = 1;
 const CHANGES_PER_OUTAGE = 8;
 const CHANGES_PER_PARTITION = 10;
--- a/packages/bench/src/ControlAge.ts
+++ b/packages/bench/src/ControlAge.ts
@@ -13,7 +13,7 @@
 
 export interface ControlAgeOptions {
   readonly seed: number;
-  /** Mean ages of the load data; null means that an instance has only its own requests to go by. */
+  /** Mean ages of the load data; null means that an instance has only the counts of its own requests. */
   readonly ages?: readonly (Millis | null)[];
   readonly utilisation?: number;
   readonly duration?: Millis;
@@ -37,7 +37,7 @@
   running: number;
 }
 
-/** What one instance knows about the load of one engine. */
+/** Load of one engine as recorded by one instance. */
 interface EngineView {
   readonly load: number;
   /** Requests that this instance started on the engine since the digest, minus those that ended since. */
--- a/packages/bench/src/ControlFleet.ts
+++ b/packages/bench/src/ControlFleet.ts
@@ -38,7 +38,7 @@
   readonly loads: LoadGossip;
 }
 
-/** A member that became dead in the view of `observer`, by its own detection or by gossip. */
+/** A member that `observer` recorded as dead, by its own detection or from gossip. */
 export interface ObservedDeath {
   readonly observer: InstanceId;
   readonly id: InstanceId;
--- a/packages/bench/src/OverheadBench.ts
+++ b/packages/bench/src/OverheadBench.ts
@@ -112,7 +112,7 @@
 }
 
 /**
- * Measures the throughput of one daemon core: a closed loop of streams against engines that compute in no
+ * Measures the throughput of one daemon core: a closed loop of streams against engines with zero computing
  * time.
  */
 async function measureLoad(stack: Stack) {
--- a/packages/bench/src/RecoveryFaults.ts
+++ b/packages/bench/src/RecoveryFaults.ts
@@ -20,7 +20,7 @@
 }
 
 /**
- * Under even load no domain borrows engines of another, and a partition affects no request. Here the first
+ * Under even load no domain uses engines of another, and a partition affects no request. Here the first
  * domain gets more load than it can serve.
  */
 export const FAULT_LOADS: Readonly<Record<string, FaultLoad>> = {
--- a/packages/bench/src/RecoveryWorld.ts
+++ b/packages/bench/src/RecoveryWorld.ts
@@ -222,7 +222,7 @@
     return trace;
   }
 
-  /** Sends the whole request to another instance, as a caller does whose connection broke. */
+  /** Sends the whole request to another instance, like a caller whose connection broke. */
   function resend(
     trace: RequestTrace,
     prompt: string,
--- a/packages/bench/src/SoakChecker.ts
+++ b/packages/bench/src/SoakChecker.ts
@@ -103,7 +103,7 @@
   }
 }
 
-/** Checks that a receipt runs at most once, and agrees with what its caller was told. */
+/** Checks that a receipt runs at most once, and that its caller's responses agree with that count. */
 function checkReceipts({ records, effects }: SoakEvidence): readonly string[] {
   const faults: string[] = [];
   const counts = new Map<string, number>();
--- a/packages/bench/src/SoakPlan.ts
+++ b/packages/bench/src/SoakPlan.ts
@@ -47,7 +47,7 @@
 }
 
 const KINDS = Object.values(SoakFaultKind);
-/** Faults start after callers have connected, and early enough that requests still run into them. */
+/** Faults start after callers have connected, and early enough before the end that requests run during each. */
 const FIRST_FAULT: Millis = 1000;
 const FAULT_FREE_END: Millis = 3000;
 const MIN_FAULT_TIME: Millis = 200;
--- a/packages/bench/src/StackLauncher.ts
+++ b/packages/bench/src/StackLauncher.ts
@@ -62,7 +62,7 @@
   SKYLARKSAIL_OPERATOR_TOKEN: 'stack-operator-token',
 } as const;
 
-/** Launches a stack and waits until every daemon is ready and knows all engines. */
+/** Launches a stack and waits until every daemon is ready and has reports of all engines. */
 export async function launchStack(size: StackSize): Promise<Stack> {
   const folder = mkdtempSync(join(tmpdir(), 'skylarksail-stack-'));
   const processes: StackProcess[] = [];
@@ -117,7 +117,7 @@
     );
   }
 
-  /** Registers an instance with the stand-in platform; a real platform knows its machines itself. */
+  /** Adds an entry to the stand-in platform's instance list; a real platform maintains that list itself. */
   async function register(record: {
     readonly id: string;
     readonly role: 'entry' | 'engine' | 'service';
--- a/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
+++ b/packages/bench/src/__tests__/unit/RecoveryBench.test.ts
@@ -57,10 +57,10 @@
     expect(answered.length).to.be.above(200);
   });
 
-  it('increases borrowing step by step after a partition heals', async () => {
-    // Guards against stalled domains after a partition. The first domain borrows when it is partitioned,
-    // and its requests queue; when the partition heals, all its instances see the other domains free at
-    // the same time and use the whole lent share at once.
+  it('increases the load on other domains step by step after a partition heals', async () => {
+    // Guards against domains that stall after a partition. The first domain needs engines of the others, so
+    // its requests queue during the partition. When it heals, load reports show all its instances at the same
+    // time that the other domains are idle, and all use their full shares of the other domains at once.
     const load = { requestsPerSecond: BORROWING_RATE, firstDomainShare: 0.9 };
     const world = createWorld((instance) => instance, load);
     const countBorrowed = () =>
--- a/packages/claims/src/ClaimMessages.ts
+++ b/packages/claims/src/ClaimMessages.ts
@@ -13,7 +13,7 @@
 
 export type ClaimPeerMessage =
   | { readonly kind: 'claim-ask'; readonly slot: number; readonly ask: PeerClaimRequest }
-  /** The sender will never dispatch the request. */
+  /** The sender will never dispatch the request, or the request provably did not run. */
   | {
       readonly kind: 'claim-release';
       readonly slot: number;
--- a/packages/claims/src/ClaimPort.ts
+++ b/packages/claims/src/ClaimPort.ts
@@ -15,12 +15,12 @@
 /** Result of a finished request, kept so that a resend gets the same result. */
 export interface ClaimRecord {
   readonly run: RunStateName;
-  /** The response that the caller got; null once it is no longer stored. */
+  /** The response that the caller got; null if it is not stored or no longer stored. */
   readonly answer: string | null;
 }
 
 export type ClaimOutcome =
-  /** Only this request may be sent, and only once. */
+  /** Only this request may be dispatched, and only once. */
   | { readonly kind: 'granted'; readonly token: string }
   /** An earlier request with the key is still running; `instance` is null if it is not known where. */
   | { readonly kind: 'running'; readonly instance: string | null }
--- a/packages/claims/src/ClaimRecords.ts
+++ b/packages/claims/src/ClaimRecords.ts
@@ -10,7 +10,7 @@
   readonly entries: number;
   /** Maximum total size of the stored responses. */
   readonly bytes: number;
-  /** Maximum size of one response. Of a request with a longer one, only the run state is stored. */
+  /** Maximum size of one response. If a response is longer, only the run state of its request is stored. */
   readonly answerBytes: number;
 }
 
--- a/packages/claims/src/ClaimRouter.ts
+++ b/packages/claims/src/ClaimRouter.ts
@@ -60,8 +60,8 @@
 const RETRY_DELAY_MS = 60;
 const RETRY_AFTER_MS = 1000;
 /**
- * Maximum number of attempts to get a key whose holder never dispatched its request. The attempts are
- * limited because a slot whose list of withdrawn claims is full releases no more until the list shrinks.
+ * Maximum number of tries to claim a key whose holders never dispatched their requests. The tries are
+ * limited because a slot whose list of withdrawn claims is full releases none until the list shrinks.
  */
 const MAX_RELEASE_TRIES = 3;
 const FINGERPRINT_DIGITS = 8;
--- a/packages/claims/src/ClaimSlot.ts
+++ b/packages/claims/src/ClaimSlot.ts
@@ -200,8 +200,8 @@
 }
 
 /**
- * Gives the slot up after another owner has incremented the epoch. Claims that this instance stored and
- * the new owner kept are granted to the same claim requests there.
+ * Gives the slot up after another owner has incremented the epoch. If a claim that this instance stored
+ * is in the new owner's head, the new owner grants it to the same claim request.
  */
 function loseSlot(state: ClaimSlotState, owner: string, { now }: SlotClock): SlotStep {
   const idle = createClaimSlot(state.slot, state.owner, state.settings);
@@ -246,7 +246,7 @@
   if (work?.name !== name) {
     return state;
   }
-  // No other process writes under this name, so a conflict means that an earlier attempt is stored.
+  // No other process writes under this name, so a conflict means that an earlier write took effect.
   const isStored =
     outcome.kind === 'done' || (outcome.kind === 'refused' && outcome.reason.kind === 'conflict');
   return isStored
--- a/packages/claims/src/ClaimSlotBatch.ts
+++ b/packages/claims/src/ClaimSlotBatch.ts
@@ -21,7 +21,7 @@
 
 /**
  * Whether a batch is due: there are waiting requests or claims to remove. While the open segment is full,
- * waiting requests do not count, but a segment that has been written and can now be referenced does.
+ * waiting requests do not count, but a written segment that the head does not refer to yet does.
  */
 export function hasBatch(state: ClaimSlotState): boolean {
   const claims = state.known?.head.claims ?? [];
@@ -56,8 +56,8 @@
     claims,
     segments,
     withdrawn: chooseWithdrawn(state, known, segments),
-    // Just above the newest key that is dropped, not a time from the wall clock: a clock far in the
-    // future then expires old keys early but cannot make every later key look too old.
+    // The floor follows the newest dropped key and not the wall clock. A clock that is set far in the
+    // future then drops claims too early, but does not make every later key look too old.
     floor: expired.reduce(
       (floor, segment) => Math.max(floor, (segment.newest ?? 0) + 1),
       known.floor,
@@ -80,7 +80,8 @@
   const isStillStored = ([askId, keyHash]: readonly [string, string]): boolean =>
     open.get(keyHash)?.askId === askId ||
     (!withdrawn.has(askId) && !isFull && isSealed(state, askId, keyHash));
-  // While the slot is being acquired, its sealed segments are not loaded, so no release can be dropped.
+  // While the slot is being acquired, its sealed segments are not loaded. Every release is kept, because
+  // its claim may be in one of them.
   const isTaking = state.phase === SlotPhase.Taking;
   const withoutOutcome = new Set(head.claims.filter((c) => c.outcome === null).map((c) => c.askId));
   return {
--- a/packages/claims/src/ClaimSlotLookup.ts
+++ b/packages/claims/src/ClaimSlotLookup.ts
@@ -32,7 +32,7 @@
   );
 }
 
-/** Returns the ids of the requests whose claims a swap adds to the known head, without those that it keeps. */
+/** Returns the ids of the requests whose claims are in the swap but not in the known head. */
 export function getAddedRequestIds(state: ClaimSlotState, swap: SlotHead): ReadonlySet<string> {
   const open = state.known?.open;
   const added = swap.claims.filter(({ keyHash, askId }) => open?.get(keyHash)?.askId !== askId);
--- a/packages/claims/src/ClaimSlotTypes.ts
+++ b/packages/claims/src/ClaimSlotTypes.ts
@@ -59,7 +59,7 @@
   | { readonly kind: 'key-mismatch' }
   | { readonly kind: 'key-expired' }
   | { readonly kind: 'unavailable'; readonly retryAfter: Millis }
-  /** Another instance owns the slot, as far as this one knows. */
+  /** Another instance owns the slot; `owner` may be outdated, and is empty after a stop. */
   | { readonly kind: 'not-owner'; readonly owner: string };
 
 export const SlotPhase = {
@@ -133,7 +133,7 @@
 
 export type SlotEvent =
   | { readonly kind: 'ask'; readonly ask: SlotClaimRequest }
-  /** The requester will never dispatch it, or it provably did not run. */
+  /** The requester will never dispatch the request, or the request provably did not run. */
   | { readonly kind: 'release'; readonly askId: string; readonly keyHash: string }
   | { readonly kind: 'settle'; readonly askId: string; readonly outcome: RunStateName }
   | { readonly kind: 'head-read'; readonly outcome: StoreOutcome<StoreEntry> }
--- a/packages/claims/src/FakeClaimFleet.ts
+++ b/packages/claims/src/FakeClaimFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Claim routers of several instances with one fake store and a fake network, for tests and benches. An
- * instance can be started, killed, paused together with its timers and pending results, or disconnected.
+ * Claim routers of several instances with one fake store and a fake network, for tests and benchmarks.
+ * An instance can be started, killed, paused together with its timers and pending results, or disconnected.
  */
 import { createRandom, type Random } from '@skylarksail/core/CoreRandom';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
--- a/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimFaults.test.ts
@@ -89,7 +89,7 @@
   });
 
   it('answers a resend on another instance with the state of the first request', async () => {
-    // Failure: a statement is sent twice. The caller loses its connection and resends the key through the
+    // Failure: a key runs twice. The caller loses its connection and resends the key through the
     // load balancer to another instance, but only the first instance knows the claim.
     const { timers, owner, other, instances, claim } = createFixture();
     const token = getToken(await waitFor(timers, claim(other, 'k')));
@@ -160,7 +160,7 @@
   });
 
   it('keeps claims when every instance is replaced', async () => {
-    // Failure: a receipt is issued twice after a rolling update. Every process is replaced, then the caller
+    // Failure: a key runs twice after a rolling update. Every process is replaced, then the caller
     // resends, but the claims were kept in memory only.
     const { timers, fleet, instances, owner, claim } = createFixture();
     getToken(await waitFor(timers, claim(owner, 'k')));
--- a/packages/claims/src/__tests__/unit/ClaimHistory.test.ts
+++ b/packages/claims/src/__tests__/unit/ClaimHistory.test.ts
@@ -148,7 +148,7 @@
 
 describe('claims under random faults', () => {
   it(`grants each key to at most one dispatch in ${RUNS} seeded runs of mixed faults`, async () => {
-    // Failure: a bulletin is sent twice under some mix of lost, late and slow calls, outages, paused and
+    // Failure: a key runs twice under some mix of lost, late and slow calls, outages, paused and
     // replaced instances, differing views of live instances, and lost messages. The seed in the failure
     // message reproduces the run.
     let granted = 0;
--- a/packages/cli/src/CliLedger.ts
+++ b/packages/cli/src/CliLedger.ts
@@ -26,7 +26,7 @@
   /** Seconds since the first request. */
   readonly second: number;
   readonly requests: number;
-  /** Share of the requests that arrived in this second and were answered on time; null if none arrived. */
+  /** Of the requests that arrived in this second, the share answered on time; null if none arrived. */
   readonly onTime: number | null;
   /** Whether every layer was held in the domain; null before the first log line about its coverage. */
   readonly isWhole: boolean | null;
@@ -58,7 +58,7 @@
   printResult(context.output, context.isJson(), ledger, formatLedger);
 }
 
-/** Counts the requests by end and cause. Requests that no route or key allows are left out. */
+/** Counts the requests by end and cause. Requests rejected as invalid, unauthorized or not found are left out. */
 export function createLedger(unsorted: readonly LogLine[]): Ledger {
   const lines = [...unsorted].sort((a, b) => Number(a.time) - Number(b.time));
   const requests = readLedgerRequests(lines).filter(({ cause }) => cause !== LedgerCause.Rejected);
--- a/packages/cli/src/LedgerPlot.ts
+++ b/packages/cli/src/LedgerPlot.ts
@@ -1,4 +1,4 @@
-/** Draws the share of requests that each failure domain answered on time, and the periods in which it was not whole. */
+/** Draws the share of requests that each failure domain answered on time, and when it lacked layers. */
 import type { Spec } from 'vega';
 import type { LedgerSecond } from './CliLedger.js';
 
@@ -8,7 +8,7 @@
 const ON_TIME_COLOR = '#2b6cb0';
 const NOT_WHOLE_COLOR = '#f6c1b5';
 
-/** Returns an SVG image with one row per domain, shaded while no engine held some of the layers (not whole). */
+/** Returns an SVG image with one row per domain; periods in which no engine held some of its layers are shaded. */
 export async function drawLedger(seconds: readonly LedgerSecond[]): Promise<string> {
   // Imported on demand: only this command draws, and the library takes longer to load than other commands take to run.
   const { parse, View } = await import('vega');
--- a/packages/cli/src/LedgerRequests.ts
+++ b/packages/cli/src/LedgerRequests.ts
@@ -127,8 +127,8 @@
 }
 
 /**
- * A stage that reports that the request has not run counts as a refusal, since it is alive: it is full, is draining,
- * or holds other layers.
+ * A stage that reports that the request has not run counts as a refusal, since its engine has not failed: it is
+ * full, is draining, or holds other layers.
  */
 function isEngineRefusal(reason: string): boolean {
   return reason.startsWith('refused') || reason.startsWith('stage not-run');
--- a/packages/core/src/CoreActivity.ts
+++ b/packages/core/src/CoreActivity.ts
@@ -10,7 +10,7 @@
 
 /**
  * Calls `work` every `period` ms after `start` until it returns false because nothing is left to do. This
- * avoids timer wake-ups on an idle instance: timers that only checked for work caused three in four of them.
+ * avoids timer wake-ups on an idle instance: timers that only checked for work caused three in four wake-ups.
  */
 export function createActiveInterval(
   timers: TimerService,
--- a/packages/core/src/CoreResponseTimeout.ts
+++ b/packages/core/src/CoreResponseTimeout.ts
@@ -1,8 +1,8 @@
 /**
  * Timeouts for receiving a response. A tight timeout on the whole response would abort a large one that is still
- * arriving, and the retry starts again at the first byte: on a link that is too slow for the timeout no attempt
- * succeeds, and the retries use up the link's bandwidth. The main timeouts therefore limit the time without data; the
- * timeout on the whole response only stops a sender that never finishes.
+ * arriving, and the retry would start again at the first byte: on a link that is too slow for the timeout no attempt
+ * would succeed, and the retries would use up the link's bandwidth. The main timeouts therefore limit the time without
+ * data; the timeout on the whole response only stops a sender that never finishes.
  */
 import type { TimerService } from './CoreTimers.js';
 import type { Millis, Unregister } from './CoreTypes.js';
--- a/packages/core/src/CoreTimers.ts
+++ b/packages/core/src/CoreTimers.ts
@@ -1,4 +1,4 @@
-/** The timer service that all components use, and its virtual-time implementation for tests and benches. */
+/** The timer service that all components use, and its virtual-time implementation for tests and benchmarks. */
 import TinyQueue from 'tinyqueue';
 import type { Millis, Unregister } from './CoreTypes.js';
 import { invariant } from './CoreErrors.js';
--- a/packages/core/src/__tests__/unit/CoreChain.test.ts
+++ b/packages/core/src/__tests__/unit/CoreChain.test.ts
@@ -14,8 +14,8 @@
     expect(result.ok).to.equal(true);
   });
 
-  // Failure: a response is computed without some layers, or with some of them twice. Engines load other ranges
-  // between two load reports, and a chain is built from both reports with stages that are not contiguous.
+  // Guards against a response that is computed without some layers, or with some of them twice: engines load other
+  // ranges between two load reports, and a chain is built from both reports with stages that are not contiguous.
   it('rejects gaps, overlaps, chains that are too short or too long, repeated engines and empty chains', () => {
     const kinds = [
       [createStage('a', 0, 3), createStage('b', 4, 8)],
--- a/packages/core/src/__tests__/unit/CoreResponseTimeout.test.ts
+++ b/packages/core/src/__tests__/unit/CoreResponseTimeout.test.ts
@@ -21,8 +21,8 @@
   });
 
   it('does not abort a response while data arrives, and aborts one that stalls', () => {
-    // Failure: on a slow link, every attempt to fetch a configuration of some hundred kilobytes is aborted after 0.7 s,
-    // however much has arrived, and starts again at the first byte.
+    // Guards against a timeout on the whole response: on a slow link, every attempt to fetch a configuration of some
+    // hundred kilobytes would be aborted after 0.7 s, however much has arrived, and start again at the first byte.
     const { timers, arrival } = createFixture();
     for (let at = 600; at <= 1800; at += 200) {
       timers.advanceTo(at);
@@ -36,8 +36,8 @@
   });
 
   it('accepts data that arrived while the process was blocked', () => {
-    // Failure: small instances under load abort responses that are already in their socket buffers, because a due timer
-    // runs before the received bytes are read.
+    // Guards against small instances under load that abort responses already in their socket buffers, because a due
+    // timer runs before the received bytes are read.
     const { timers, arrival } = createFixture();
     timers.advanceTo(LIMITS.begin);
     arrival.recordProgress();
--- a/packages/daemon/src/DaemonCallerGateway.ts
+++ b/packages/daemon/src/DaemonCallerGateway.ts
@@ -130,8 +130,8 @@
 }
 
 /**
- * Hashes of increasingly long prefixes of a prompt, shortest first; they are matched with prefix
- * caches.
+ * Hashes of increasingly long prefixes of a prompt, shortest first. Routing compares them with those
+ * of the prefixes that engines have cached.
  */
 function createPrefixKeys(prompt: string): readonly string[] {
   const count = Math.min(MAX_PREFIX_KEYS, Math.floor(prompt.length / PREFIX_STEP_CHARACTERS));
--- a/packages/daemon/src/DaemonClaims.ts
+++ b/packages/daemon/src/DaemonClaims.ts
@@ -19,7 +19,7 @@
 /** Number of claim slots of the fleet. It must never change: keys with existing claims would map to other slots. */
 export const CLAIM_SLOTS = 64;
 
-/** Timeout of a call to a peer. The claim router retries sooner, possibly with another owner. */
+/** Timeout of a call to a peer. The claim router has a shorter one, and retries, possibly with another owner. */
 const PEER_TIMEOUT: Millis = 5000;
 
 /** Kept short, since each stored claim contains the process name. */
--- a/packages/daemon/src/DaemonDrains.ts
+++ b/packages/daemon/src/DaemonDrains.ts
@@ -1,6 +1,6 @@
 /**
- * Drains an engine before it is ordered to load something else. The instance with the placement duty of the
- * domain notifies the others, which send it no new work, and issues the order once nothing runs there.
+ * Drains an engine before it is ordered to load other layers. The instance with the placement duty of the domain
+ * notifies the others, which then send the engine no new work, and issues the order once the engine runs nothing.
  */
 import { z } from 'zod';
 import type { TimerService } from '@skylarksail/core/CoreTimers';
@@ -9,7 +9,7 @@
 import type { EngineDirectory } from './DaemonEngines.js';
 import type { DaemonFleet } from './DaemonFleet.js';
 
-/** A drain expires unless it is renewed, so that none is left behind if the requesting instance dies. */
+/** A drain expires unless it is renewed, so that it does not outlast a crash of the requesting instance. */
 const DRAIN_NOTICE_TTL: Millis = 5000;
 
 /** Longer than a polling period plus the delivery of the report: before that, a running count of 0 may be stale. */
--- a/packages/daemon/src/DaemonEngines.ts
+++ b/packages/daemon/src/DaemonEngines.ts
@@ -23,7 +23,7 @@
 const FOREIGN_QUERY_PERIOD: Millis = 5000;
 const PEER_TIMEOUT: Millis = 1500;
 
-/** Maximum number of reports in a reply to another domain; more would exceed the byte limit per node. */
+/** Maximum number of reports in a reply to another domain; more would exceed the byte limit per instance. */
 const MAX_FOREIGN_REPORTS = 64;
 
 interface KnownReport {
@@ -49,12 +49,12 @@
   /** Receives load reports in batches, since processing them together is cheaper. */
   onLoads(reports: readonly SeenEngineLoad[]): void;
   onLeaving(engine: EngineId): void;
-  /** The engine did not answer a poll, or answered for another engine. */
+  /** A poll of the engine failed, or returned the report of another engine. */
   onPollUnanswered(engine: EngineId): void;
 }
 
 export interface EngineDirectory {
-  /** Replaces the instance list. */
+  /** Replaces the platform's instance list, which includes engines and the servers of plain services. */
   setRecords(records: readonly InstanceRecord[]): void;
   findAddress(id: EngineId): HostPort | null;
   /** Live backend servers of a plain service: those whose ID equals the service's, or starts with `service/`. */
@@ -117,7 +117,7 @@
   }
 
   async function poll(record: InstanceRecord): Promise<void> {
-    // Polls of an engine that hangs must not pile up.
+    // Polls of an engine that hangs must not accumulate.
     if (pollsInFlight.has(record.id)) {
       return;
     }
--- a/packages/daemon/src/DaemonFleet.ts
+++ b/packages/daemon/src/DaemonFleet.ts
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Reports a broken connection to membership, seconds before probes would detect a dead instance. */
+  /** Reports a broken connection to membership, seconds before probes would detect a crashed instance. */
   function reportLost({ host, port }: HostPort): void {
     const lost = membership
       .getLiveInstances()
--- a/packages/daemon/src/DaemonLogSink.ts
+++ b/packages/daemon/src/DaemonLogSink.ts
@@ -80,7 +80,7 @@
       if (err?.code === 'EAGAIN') {
         setTimeout(() => writeRest(rest), BUSY_RETRY_DELAY).unref();
       } else if (err !== null) {
-        // The reader is gone: this batch is lost (counted as one line); later batches are tried all the same.
+        // The write failed: this batch is lost (counted as one line); later batches are still written.
         countDropped(false);
         finishBatch(rest.byteLength);
       } else if (written < rest.byteLength) {
--- a/packages/daemon/src/DaemonManifest.ts
+++ b/packages/daemon/src/DaemonManifest.ts
@@ -46,7 +46,7 @@
 
 export interface DaemonManifest {
   getView(): ManifestView | null;
-  /** How this instance learned the revision in force. */
+  /** Source of the revision in force: the platform, the peers, or nothing yet. */
   getKnownBy(): string;
   submit(
     input: unknown,
@@ -57,7 +57,7 @@
   readManifest(): { readonly revision: number; readonly manifest: Manifest } | null;
   diff(next: Manifest): readonly ManifestChange[];
   readHistory(): Promise<readonly RevisionSummary[]>;
-  /** Returns the progress of a revision by domain as known now, and queries the domains to refresh it. */
+  /** Returns the progress of a revision by domain as last reported, and queries the domains to refresh it. */
   queryInForce(revision: number): readonly DomainInForce[];
   registerListener(listener: (view: ManifestView) => void): Unregister;
   stop(): void;
--- a/packages/daemon/src/DaemonMetrics.ts
+++ b/packages/daemon/src/DaemonMetrics.ts
@@ -2,7 +2,7 @@
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 import type { RouterMetric, RouterMetricName } from '@skylarksail/requests/RouterTypes';
 
-/** Every sample wakes the process, even when it is idle; delays that callers notice exceed this period. */
+/** Every sample uses CPU time, even in an idle process; delays that callers notice exceed this period. */
 const EVENT_LOOP_SAMPLE_PERIOD_MS = 1000;
 
 const TIME_BUCKETS_MS = [1, 2, 5, 10, 20, 40, 78, 150, 300, 600, 1000, 2000, 4000, 8000, 16000];
--- a/packages/daemon/src/DaemonPeers.ts
+++ b/packages/daemon/src/DaemonPeers.ts
@@ -55,8 +55,8 @@
 export async function startPeerLink(options: PeerLinkOptions): Promise<PeerLink> {
   const outgoing = new Map<string, WebSocket>();
   /**
-   * Messages queued for connections that are still opening. One 'open' listener per message would be
-   * hundreds on the socket of a lost peer, for which Node warns of a leak.
+   * Messages queued for connections that are still opening. With one 'open' listener per message, the
+   * socket to an unreachable peer would have hundreds of them, and Node would warn of a leak.
    */
   const waiting = new Map<WebSocket, Uint8Array[]>();
   const seenNonces = new Map<string, Millis>();
--- a/packages/daemon/src/DaemonPlacement.ts
+++ b/packages/daemon/src/DaemonPlacement.ts
@@ -27,7 +27,7 @@
 
 export interface DaemonPlacement {
   getStatus(): PlacementStatus;
-  /** Chooses the version for a new request; the manifest's version while no complete chain holds any. */
+  /** Chooses the version for a new request; the manifest's version while no version has a complete chain. */
   chooseVersion(model: ManifestModel): VersionId;
   stop(): void;
 }
--- a/packages/daemon/src/DaemonPoison.ts
+++ b/packages/daemon/src/DaemonPoison.ts
@@ -40,7 +40,7 @@
   readonly random: Random;
 }
 
-/** Starts the exchange. Updates go to the whole domain; periodic sends to a random peer make up for losses. */
+/** Starts the exchange. Updates go to the whole domain; periodic messages to a random peer replace lost ones. */
 export function startDaemonPoison(options: DaemonPoisonOptions): Unregister {
   const { self, fleet, router, timers, random } = options;
   let sentVersion = '';
@@ -68,7 +68,7 @@
     fleet.calls.registerNotice(POISON_TOPIC, (payload) => {
       const parsed = digestSchema.safeParse(payload);
       if (parsed.success && router.mergePoison(parsed.data)) {
-        // The sender has sent this to the whole domain already, so it is not passed on.
+        // The sender has sent this update to the whole domain already, so it is not forwarded.
         sentVersion = computeVersion(router.getPoisonDigest());
       }
     }),
--- a/packages/daemon/src/__tests__/unit/DaemonCallers.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonCallers.test.ts
@@ -59,7 +59,7 @@
     expect(err).to.be.instanceOf(OpenAI.NotFoundError);
   });
 
-  it('answers alike for a model that the team may not use and one that does not exist', async () => {
+  it('gives one error for a model that the team may not use and one that does not exist', async () => {
     const ask = { messages: MESSAGES, stream: false };
     const hidden = await postChat({ ...ask, model: 'hidden' });
     const absent = await postChat({ ...ask, model: 'absent' });
--- a/packages/daemon/src/__tests__/unit/DaemonStop.test.ts
+++ b/packages/daemon/src/__tests__/unit/DaemonStop.test.ts
@@ -44,7 +44,7 @@
 
   // Guards against a call that is executed twice: an instance executes a call with an idempotency
   // key and stops, and the caller sends it again to another instance. The owner of the key's claim
-  // slot must know the outcome, not only the first instance.
+  // slot must have a record of the outcome, not only the first instance.
   it('answers a repeated call at another instance after the first one has stopped', async () => {
     const post = (daemon: HarnessDaemon | undefined): Promise<Response> =>
       postJson(
@@ -64,9 +64,9 @@
     expect(harness.service.ledger.read().entries).to.have.length(1);
   });
 
-  // Guards against an engine that gets new work until it stops, and then aborts it: the engine
-  // reports that it is leaving before the platform's list shows it. Its own report must be enough,
-  // for every instance.
+  // Guards against new work that is sent to an engine which is about to stop, and is aborted there:
+  // the engine reports that it is leaving before the platform's list shows it. Its own report must be
+  // enough, for every instance.
   it('sends no new work to an engine once it reports that it is leaving', async () => {
     const leaving = harness.engines[0];
     if (!leaving) {
--- a/packages/manifest/src/ManifestCalls.ts
+++ b/packages/manifest/src/ManifestCalls.ts
@@ -34,14 +34,14 @@
 /** The last outcome of a call that may have been retried. */
 export interface RepeatedOutcome<T> {
   readonly outcome: StoreOutcome<T>;
-  /** Whether the outcome of any attempt was unknown, so that it may have taken effect. */
+  /** Whether the outcome of any try was unknown, so that the call may have taken effect. */
   readonly mayHaveApplied: boolean;
 }
 
 /**
  * Retries a call with exponential backoff while its outcome is unknown or it is refused with a
  * `retryAfter`. Only for idempotent calls. Returns the last outcome by the deadline, which is a time of
- * `timers`; the outcome at the deadline is `unknown` if that of any attempt was.
+ * `timers`; the outcome at the deadline is `unknown` if that of any try was.
  */
 export async function callWithRetry<T>(
   ctx: StoreContext,
--- a/packages/manifest/src/ManifestChunks.ts
+++ b/packages/manifest/src/ManifestChunks.ts
@@ -32,8 +32,8 @@
 /** Maximum number of leaves in one index chunk. */
 export const INDEX_FAN_OUT = 64;
 /**
- * The number of leaves stays until their mean size is off the target by more than this factor, because
- * a new number reassigns all teams.
+ * The number of leaves changes only if their mean size is off the target by more than this factor,
+ * because a new number reassigns all teams.
  */
 const RESIZE_FACTOR = 4;
 const BASE_PART = 'base';
--- a/packages/manifest/src/ManifestFetch.ts
+++ b/packages/manifest/src/ManifestFetch.ts
@@ -154,7 +154,7 @@
   return { ...state, target: { ...target, chunks: allChunks }, counts };
 }
 
-/** Holds the target if all its chunks are here, else requests the missing ones from its source. */
+/** Makes the target the held manifest once all its chunks are available; else requests the others. */
 export function advanceTarget(ctx: SpreadContext, state: SpreadState, at: Millis): SpreadStep {
   const { target } = state;
   if (!target) {
@@ -264,7 +264,7 @@
     : createStep(state);
 }
 
-/** Holds a complete manifest, announces it to peers and answers their pending queries. */
+/** Makes a complete manifest the held one, announces it to peers and answers their pending queries. */
 function holdManifest(
   ctx: SpreadContext,
   state: SpreadState,
@@ -293,7 +293,8 @@
   const replies = new Map(state.pendingReplies.map(({ peer, ask }) => [peer, ask]));
   const recipients = new Set([
     ...selectRecipients(state.plan, revision),
-    // Otherwise peers whose parent in the tree has failed, or whose message was lost, wait for gossip.
+    // Without these, a peer whose parent in the tree has failed, or whose message was lost, would not
+    // learn the revision until the next gossip message.
     ...sampleElements(ctx.random, listNearestPeers(state), RANDOM_RECIPIENTS),
     ...replies.keys(),
   ]);
--- a/packages/manifest/src/ManifestPeers.ts
+++ b/packages/manifest/src/ManifestPeers.ts
@@ -10,9 +10,9 @@
   readonly domain: DomainId;
 }
 
-/** Instances of a domain that watch the root. With two, one may fail and go undetected for a while. */
+/** Instances of a domain that watch the root. With two, one is left while a failure is undetected. */
 const WATCHERS = 2;
-/** Watchers of the fleet that read a new revision's chunks from the platform; the rest use peers. */
+/** Watchers of the fleet that read a new revision's chunks from the platform; others fetch from peers. */
 const READERS = 2;
 /** Instances of a domain that collect its confirmations. */
 const COLLECTORS = 2;
--- a/packages/manifest/src/ManifestRunner.ts
+++ b/packages/manifest/src/ManifestRunner.ts
@@ -27,7 +27,7 @@
 const TICK_PERIOD: Millis = 100;
 const READ_TIMEOUT: Millis = 5000;
 const WATCH_TIMEOUT: Millis = 10_000;
-/** Timeout of each attempt: the first detects a lost call soon, the last allows for seconds of latency. */
+/** Timeout of each try to read a chunk: the first detects a lost call soon, the last allows for seconds of latency. */
 const CHUNK_TIMEOUTS: readonly Millis[] = [250, 1000, 5000];
 
 /** Dependencies and settings of the runner of one instance. */
--- a/packages/manifest/src/ManifestSpreadTypes.ts
+++ b/packages/manifest/src/ManifestSpreadTypes.ts
@@ -28,7 +28,7 @@
   readonly gossipPeriod: Millis;
   /** Probability that a gossip message goes to a random peer of any domain instead of the own one. */
   readonly gossipFarShare: number;
-  /** Poll period for each instance of the fleet, so that the poll rate of the whole fleet is constant. */
+  /** Multiplied by the number of instances, so that the poll rate of the whole fleet is constant. */
   readonly pollPeriodPerInstance: Millis;
   readonly minPollPeriod: Millis;
   /** First and longest delay of the backoff after a failed watch or a failed read of chunks. */
@@ -59,7 +59,7 @@
 
 /** Where an instance learned the revision that it has in force. */
 export const KnownBy = {
-  /** The instance read this revision or a later one, or that there is none, from the platform. */
+  /** The platform returned this revision or a later one, or none is in force and the platform has none. */
   Platform: 'platform',
   /** Peers sent the revision, and the instance has not yet read it from the platform. */
   Peers: 'peers',
@@ -81,7 +81,7 @@
 export interface RootRequest {
   readonly revision: number;
   /**
-   * Peers that announced the revision and were not asked yet. Only one is asked at a time, because each
+   * Peers that announced the revision and have not been asked yet. Only one is asked at a time, because each
    * answer carries the whole delta.
    */
   readonly announcers: readonly InstanceId[];
@@ -99,7 +99,7 @@
   readonly backoff: Millis;
 }
 
-/** A peer that asked about a revision not held here yet, with the query id to repeat in the reply. */
+/** A peer that queried a revision that this instance does not hold yet, with the id of the query. */
 export interface PendingReply {
   readonly peer: InstanceId;
   readonly ask: number;
--- a/packages/manifest/src/ManifestStart.ts
+++ b/packages/manifest/src/ManifestStart.ts
@@ -1,7 +1,7 @@
 /**
- * Start of an instance: it reads the platform or, if that is unavailable, queries several peers in
- * several domains and takes the highest revision. A single peer may be stale, and its answer could take
- * the instance back to a revision older than the one it served before the restart.
+ * Start of an instance: it reads the platform and at the same time queries several peers in several
+ * domains. If the platform does not answer, it takes the highest revision of the peers. A single peer may
+ * be stale, and the instance could then serve an older revision than before the restart.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
--- a/packages/manifest/src/ManifestTeams.ts
+++ b/packages/manifest/src/ManifestTeams.ts
@@ -36,7 +36,7 @@
   return `${HASH_PREFIX}${createHash('sha256').update(key).digest('hex')}`;
 }
 
-/** Builds the table for `leaves` and reuses the entries of leaves that `previous` has unchanged. */
+/** Builds the table for `leaves` and reuses the entries of leaves unchanged since `previous`. */
 export function createKeyTable(
   leaves: readonly ChunkRef[],
   readLeaf: ReadLeaf,
--- a/packages/manifest/src/ManifestView.ts
+++ b/packages/manifest/src/ManifestView.ts
@@ -1,6 +1,6 @@
 /**
  * Read access to one revision of the manifest for the rest of an instance. Leaves stay serialized until
- * one of their teams is requested: with 47,000 teams the parsed form would not fit a node's memory.
+ * one of their teams is requested: with 47,000 teams the parsed form would exceed an instance's memory.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { DomainId, ModelId, ServiceId, TeamId } from '@skylarksail/core/CoreTypes';
--- a/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
+++ b/packages/manifest/src/__tests__/unit/ManifestSpread.test.ts
@@ -56,7 +56,7 @@
   });
 
   it('takes the highest revision of several peers when most are stale in a partitioned domain', async () => {
-    // Guards against an instance going back to an older manifest because it trusts a single peer: a
+    // Guards against an instance reverting to an older manifest because it queries a single peer: a
     // domain is partitioned while the others advance and is reconnected during an outage of the platform;
     // then an instance restarts and queries one that is still stale.
     for (let seed = 1; seed <= 10; seed++) {
@@ -123,9 +123,9 @@
   });
 
   it('keeps the revision in force when the service is restored from an older backup', async () => {
-    // Guards against all instances going back at once because they trust the platform's current root:
-    // after a restore from a backup it returns an older root, or a different one of the same revision.
-    // `olderRoots` counts such reads; the operators' page says what to do.
+    // Guards against all instances reverting at once because they adopt the platform's current root:
+    // after a restore from a backup the platform returns an older root, or a different one of the same
+    // revision. `olderRoots` counts such reads; docs/operators/manifest.md describes what to do.
     const bed = createBed(7);
     bed.fleet.startAll();
     await bed.accept(3);
--- a/packages/membership/src/MembershipApply.ts
+++ b/packages/membership/src/MembershipApply.ts
@@ -1,5 +1,5 @@
 /**
- * Merges records into the state: newer records win, and claims that contradict this instance's own
+ * Merges records into the state: newer records win, and records that contradict this instance's own
  * are refuted.
  */
 import { LifeState } from '@skylarksail/core/CoreConstants';
@@ -150,10 +150,10 @@
 }
 
 /**
- * Returns the record to apply for a claim, or null if it is ignored. A reported death in this
+ * Returns the record to apply for a received one, or null if it is ignored. A reported death in this
  * instance's domain removes a present member only if this instance has itself suspected the member
- * for half of the timeout; otherwise the claim at most starts a suspicion. When two halves of a
- * domain merge after a partition, each sends the other half's members as dead. Without this check
+ * for half of the timeout; otherwise the record at most starts a suspicion. When two halves of a
+ * domain merge after a partition, each reports the other half's members as dead. Without this check
  * both halves would lose all their members until each had refuted.
  */
 function checkDeathClaim(
--- a/packages/membership/src/MembershipCache.ts
+++ b/packages/membership/src/MembershipCache.ts
@@ -29,7 +29,7 @@
   readonly usedAt: Millis;
 }
 
-/** The cache contents of an engine as its owner knows them from events. */
+/** The cache contents of an engine as its owner derives them from events. */
 export interface CacheSketch {
   readonly lastNumber: number;
   /** From 0 to 1: halved by each gap in the event numbers, raised by each event in sequence. */
--- a/packages/membership/src/MembershipDigests.ts
+++ b/packages/membership/src/MembershipDigests.ts
@@ -1,6 +1,6 @@
 /**
- * Small values of other packages that all instances should know: what an engine holds, suspected poison
- * requests, the manifest revision that each instance has in force. They have string keys and are gossiped
+ * Replicates small values of other packages to all instances: the holding of an engine, suspected poison
+ * requests, the manifest revision that each instance has in force. Values have string keys and are gossiped
  * with their age.
  */
 import type { Millis, Unregister } from '@skylarksail/core/CoreTypes';
@@ -27,7 +27,7 @@
   readonly crossesDomains: boolean;
   /** How many times one instance sends a value. */
   readonly maxSends?: number;
-  /** Values not recorded again for this long expire. */
+  /** A value expires if it is not recorded again for this long. */
   readonly retention: Millis;
   readonly maxEntries?: number;
 }
--- a/packages/membership/src/MembershipDuties.ts
+++ b/packages/membership/src/MembershipDuties.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Applies the set of live instances. Duties whose owner is gone are weighed against all live instances,
- * the others only against those that joined.
+ * Applies the set of live instances. For a duty whose owner is gone, all of them are candidates; for any
+ * other duty, only its owner and the instances that joined.
  */
 export function applyLive(state: DutyState, live: readonly InstanceId[]): DutyStep {
   const next = new Set(live);
--- a/packages/membership/src/MembershipGossipTable.ts
+++ b/packages/membership/src/MembershipGossipTable.ts
@@ -221,7 +221,7 @@
   return offset + bytes.write(entry.value, offset, 'latin1');
 }
 
-/** Drops expired entries and the oldest ones once the table exceeds its maximum size. */
+/** Once the table exceeds its maximum size, drops the expired and the oldest entries. */
 function evictEntries({ cfg, entries }: GossipTable, now: Millis): void {
   if (entries.size <= cfg.maxEntries) {
     return;
--- a/packages/membership/src/MembershipProbes.ts
+++ b/packages/membership/src/MembershipProbes.ts
@@ -94,7 +94,7 @@
   return { ...state, probes, lost };
 }
 
-/** Answers a ping request: pings `target` for `origin`, which has no ack from it. */
+/** Answers a ping request: pings `target` for `origin`, which has received no ack from `target`. */
 export function sendIndirectProbe(
   state: MembershipState,
   ctx: StepContext,
@@ -208,8 +208,8 @@
 
 /**
  * Chooses the domain whose view hash a ping carries. A ping within a domain carries the hash of
- * that domain or of any known one; a ping to another domain carries that of the sender's or
- * receiver's.
+ * that domain or of any known one; a ping to another domain carries the hash of the sender's or the
+ * receiver's domain.
  */
 function chooseViewDomain(state: MembershipState, ctx: StepContext, to: ListedInstance): string {
   const own = state.self.domain;
--- a/packages/membership/src/MembershipReceive.ts
+++ b/packages/membership/src/MembershipReceive.ts
@@ -144,8 +144,8 @@
 }
 
 /**
- * Sends the sender's record back if the local one is newer, e.g. from an earlier start or from its
- * death, so that the sender can refute it.
+ * Sends the local record of the sender back if it is newer, so that the sender can refute it. Such a
+ * record can be that of an earlier start, or declare the sender dead.
  */
 function correctSender(state: MembershipState, ctx: StepContext, tag: SenderTag): MembershipStep {
   const record = findNewerRecord(state, tag);
--- a/packages/membership/src/MembershipRecords.ts
+++ b/packages/membership/src/MembershipRecords.ts
@@ -18,7 +18,7 @@
 
 export type HealthCode = (typeof Health)[keyof typeof Health];
 
-/** One instance's claim about a member. Only the member itself raises its incarnation. */
+/** What one instance reports about a member. Only the member itself raises its incarnation. */
 export interface MemberRecord {
   readonly id: InstanceId;
   readonly domain: DomainId;
--- a/packages/membership/src/MembershipService.ts
+++ b/packages/membership/src/MembershipService.ts
@@ -57,7 +57,7 @@
 export interface Membership {
   /** Processes the payload of an envelope of kind Gossip. An invalid one is counted and dropped. */
   receive(payload: unknown): void;
-  /** Applies a snapshot of the platform's instance list, which must contain entry instances only. */
+  /** Applies a snapshot of the platform's instance list, without entries of backend servers. */
   applyInstanceList(instances: readonly ListedInstance[]): void;
   /** Returns the delay until the platform's list should be read next; callers add jitter. */
   getListPeriod(): Millis;
--- a/packages/membership/src/MembershipState.ts
+++ b/packages/membership/src/MembershipState.ts
@@ -36,7 +36,7 @@
   readonly retransmitScale: number;
   /** Time between two pings from a contact to another domain. */
   readonly contactPeriod: Millis;
-  /** Contacts of a domain for each other domain, i.e. members that ping that domain. */
+  /** Number of contacts of a domain for each other domain; a contact is a member that pings that domain. */
   readonly contacts: number;
   /** A domain counts as unreachable if it was not seen for this long. */
   readonly domainTimeout: Millis;
@@ -60,8 +60,8 @@
   /** Minimum list period of all other instances. */
   readonly slowListPeriod: Millis;
   /**
-   * Their list period per present member, so that the total rate of their calls does not grow with
-   * the fleet.
+   * List period of these other instances per present member, so that the total rate of their calls
+   * does not grow with the fleet.
    */
   readonly slowListPerInstance: Millis;
 }
--- a/packages/membership/src/MembershipSync.ts
+++ b/packages/membership/src/MembershipSync.ts
@@ -120,7 +120,8 @@
 
 /**
  * Probes an instance that is listed but unknown, or that was declared dead. After a partition each
- * side has the other as dead, and without these probes they would never exchange messages again.
+ * side has declared the members of the other dead, and without these probes the two sides would never
+ * exchange messages again.
  */
 export function reconnectMembers(state: MembershipState, ctx: StepContext): MembershipStep {
   if (ctx.now < state.nextReconnectAt) {
--- a/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
+++ b/packages/membership/src/__tests__/unit/MembershipMachine.test.ts
@@ -115,7 +115,7 @@
     }
   });
 
-  it('declares no instance dead after a long pause of its own, and is accepted as live again', () => {
+  it('accepts an instance as live again after a long pause, and that instance declares no other one dead', () => {
     // Guards against a resumed instance that declares its domain dead, because its timers fire
     // before it reads messages.
     const { fleet, changes } = createSettledFleet({ seed: 5, domainSizes: [12] });
@@ -128,7 +128,7 @@
     expect(getViewSizes(fleet)).to.deep.equal([12]);
   });
 
-  it('keeps running after pauses of its own during which other domains sent messages', () => {
+  it('keeps an instance running after pauses during which other domains sent messages to it', () => {
     // Guards against a crash of the process with all its running requests: if the shift after a
     // pause moves a domain's last-seen time into the future, its age is negative and cannot be
     // encoded.
--- a/packages/placement/src/PlacementCopies.ts
+++ b/packages/placement/src/PlacementCopies.ts
@@ -1,7 +1,7 @@
 /**
  * Plans a failure domain in which several engines hold the same layers, as engines join and leave. Missing
  * layers are assigned first, then ranges with few holders get more. A range that still has a holder keeps
- * serving, so its lost copies wait until most of the lost engines are back.
+ * serving, so its lost copies are not replaced until most of the lost engines are back.
  */
 import { invariant } from '@skylarksail/core/CoreErrors';
 import type { EngineId, LayerRange } from '@skylarksail/core/CoreTypes';
@@ -180,7 +180,7 @@
   return best ? new Map([[best.engine.id, best.range]]) : null;
 }
 
-/** Assigns the range to redundant engines: the others hold every layer even when all of these move. */
+/** Assigns the range to redundant engines: even if all of them move, the others still hold their layers. */
 function reassignRedundant(
   engines: readonly RangeEngine[],
   range: LayerRange,
--- a/packages/placement/src/PlacementGroups.ts
+++ b/packages/placement/src/PlacementGroups.ts
@@ -36,8 +36,8 @@
 
 /**
  * Every group must have KV cache for this share of the requests that would fit beside a single copy of the
- * weights, even after it lost its largest engine. Without that headroom, a second holder refuses the requests
- * that a lost first one was running.
+ * weights, even after it lost its largest engine. Without that headroom, the remaining holder refuses the
+ * requests that the lost one was running.
  */
 const HEADROOM_SHARE = 0.25;
 /**
--- a/packages/placement/src/PlacementKept.ts
+++ b/packages/placement/src/PlacementKept.ts
@@ -148,7 +148,7 @@
   return layout;
 }
 
-/** The engine of each kind in each stage with the fewest running requests, so that few requests have to move. */
+/** For each kind of engine in each stage, the one with the fewest running requests, so that few have to move. */
 function listMovable(layout: Layout) {
   return layout.flatMap(({ island, stages }, column) =>
     stages.flatMap(({ engines }, stage) => {
--- a/packages/placement/src/PlacementOrderTypes.ts
+++ b/packages/placement/src/PlacementOrderTypes.ts
@@ -4,7 +4,7 @@
 import type { MoveReasonName, PlacementMove } from './PlacementTypes.js';
 
 export interface OrderSettings {
-  /** How long an order may wait at an engine before it starts; the engine then drops it. */
+  /** How long an order may wait at an engine; if it has not started by then, the engine drops it. */
   readonly validFor: Millis;
   /** Assumed upper bound on the time from sending an order to its arrival. */
   readonly transit: Millis;
@@ -21,8 +21,8 @@
   readonly backoff: Millis;
   readonly maxBackoff: Millis;
   /**
-   * Consecutive failures, or restarts within `startsWindow`, from which plans leave an engine out until
-   * its backoff ends.
+   * Number of consecutive failures after which plans leave an engine out until its backoff ends.
+   * `maxStarts` is the same for restarts within `startsWindow`.
    */
   readonly maxFailures: number;
   readonly maxStarts: number;
@@ -74,7 +74,7 @@
   readonly bootId: string;
 }
 
-/** What a lease holder knows about an engine. */
+/** A lease holder's record of an engine. */
 export interface EngineRecord {
   readonly facts: EngineFacts;
   readonly load: EngineLoad;
@@ -90,7 +90,7 @@
   readonly starts: readonly Millis[];
 }
 
-/** The lease as read just before a step; null in its place means that no lease is safe to act under. */
+/** The lease as read just before a step. Null instead of a snapshot means that no lease is safe to act under. */
 export interface LeaseSnapshot {
   readonly fencing: number;
 }
@@ -108,7 +108,7 @@
   readonly lease: HeldOrderLease | null;
   /** Highest fencing number in any report or refusal of an engine. */
   readonly highestFencing: number;
-  /** Fencing number of the last lease that was stepped down from; no order is sent under it again. */
+  /** Fencing number of the last lease that this holder stepped down from; no order is sent under it again. */
   readonly droppedFencing: number;
   readonly engines: ReadonlyMap<EngineId, EngineRecord>;
 }
--- a/packages/placement/src/PlacementOrders.ts
+++ b/packages/placement/src/PlacementOrders.ts
@@ -1,7 +1,7 @@
 /**
  * Sends the orders that carry out a plan, under a lease. Each step gets the lease as read just before it,
- * and nothing is sent on an older reading: a holder that was paused past its lease finds the lease gone
- * in the first step after it resumes.
+ * and no order is sent on the basis of an earlier read: a holder that was paused until its lease lapsed
+ * finds the lease gone in the first step after it resumes.
  */
 import type { DomainId, EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type {
@@ -147,8 +147,8 @@
 
 /**
  * Steps down if an engine has a fencing number above that of the lease: the lease has lapsed, and another
- * instance holds a later one. Only a number above all those seen before counts. The next lease is later
- * than any number seen so far, and an engine with a number that the platform never issued would otherwise
+ * instance holds a later one. Only a number above all those seen before counts, because the next lease is
+ * issued later than any of those. Otherwise an engine with a number that the platform never issued would
  * stop placement in its domain forever.
  */
 function handleSeenFencing(step: OrdersStep, fencing: number): OrdersStep {
--- a/packages/placement/src/PlacementPlan.ts
+++ b/packages/placement/src/PlacementPlan.ts
@@ -19,16 +19,16 @@
 
 /**
  * Minimum gain in score of a fresh layout over one that keeps the stage ranges in use. `RELOAD_COST` is added in
- * proportion to the engines that the fresh layout reloads beyond the other. Without these thresholds, the loss
- * of an engine would occasionally reload most of the domain for a gain of a few percent.
+ * proportion to how many more engines the fresh layout reloads. Without these thresholds, the loss of an engine
+ * would occasionally reload most of the domain for a gain of a few percent.
  */
 const MIN_FRESH_GAIN = 0.03;
 /** Cost in score of reloading all usable engines. */
 const RELOAD_COST = 0.18;
 /**
- * Minimum gain while a model has no capacity or is below its minimum. It is so high that a fresh layout wins only
- * by coverage or minimums that kept ranges cannot give: new ranges load many engines before the first chain is
- * whole, kept ranges only those of the missing stage.
+ * Minimum gain while a model has no capacity or is below its minimum. It is so high that a fresh layout is chosen
+ * only for coverage or minimums that kept ranges cannot provide: with new ranges, many engines must load before the
+ * first chain is whole; with kept ranges, only those of the missing stage.
  */
 const MIN_RESTORE_GAIN = 1.2;
 
--- a/packages/placement/src/PlacementRanges.ts
+++ b/packages/placement/src/PlacementRanges.ts
@@ -29,7 +29,7 @@
 /**
  * Factor by which the smallest headroom (KV-cache bytes per layer) of any engine must grow for a domain without
  * gaps to be repartitioned. Chains through layers that are being given up are refused until the answers there
- * have ended, eight seconds under load, and this costs more than twice the memory gains.
+ * have ended, eight seconds under load. That costs more than doubling the headroom gains.
  */
 const REPARTITION_GAIN = 2.5;
 /**
--- a/packages/placement/src/__tests__/GroupFixtures.ts
+++ b/packages/placement/src/__tests__/GroupFixtures.ts
@@ -4,7 +4,7 @@
 
 export const GB = 1e9;
 
-/** Has 140 GB of weights; a request of the usual size takes 0.92 GB of KV cache over all layers. */
+/** A model with 140 GB of weights; a request of the usual size takes 0.92 GB of KV cache over all layers. */
 export const GROUP_MODEL: GroupModel = {
   layers: 80,
   layerBytes: 1.75 * GB,
@@ -33,7 +33,7 @@
   return engines.map((engine) => ({ ...engine, held: plan?.get(engine.id) ?? engine.held }));
 }
 
-/** KV-cache bytes that a layer's holders have left for it together, at the layer with the least. */
+/** Bytes that all holders of a layer together have left for its KV cache, for the layer with the fewest. */
 export function getLeastRoom(engines: readonly RangeEngine[]): number {
   const rooms = Array.from({ length: GROUP_MODEL.layers }, (_, layer) =>
     engines.reduce((sum, { memoryBytes, held }) => {
--- a/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementCopies.test.ts
@@ -85,7 +85,7 @@
 
   it('gives up no held layer while crashed engines may still return', () => {
     // Guards against a domain that loses two of eight engines for four seconds and has no chain for seven. The
-    // engines crash together and return empty four seconds later; a few of the others cannot take their layers.
+    // engines crash together and return empty four seconds later; reassigning a few others cannot fill the gap.
     // The fault is to plan the domain from scratch 0.3 s after the loss is detected, which ends all its answers.
     const permitted = { ...REPAIRS_PERMITTED, mayRebuild: false };
     const placed = createPlaced([72, 36, 36, 36, 36, 36, 14.4, 14.4]);
--- a/packages/placement/src/__tests__/unit/PlacementGroups.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementGroups.test.ts
@@ -27,8 +27,8 @@
   it('keeps a whole chain with enough KV cache after the loss of any engine except at most two', () => {
     // Guards against a domain of a dozen engines that repeatedly serves nothing for 5 to 8 seconds. An engine
     // leaves, another crashes, a third is replaced, and a single chain uses all engines. The fault is one holder
-    // per layer, or two of which the remaining one lacks the KV cache for both loads and refuses one request in
-    // three.
+    // per layer, or two of which neither has the KV cache for both loads: after the loss of one, the other refuses
+    // one request in three.
     for (const memory of Object.values(DOMAINS)) {
       const placed = place(memory);
       const engines = placed?.engines ?? [];
--- a/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
+++ b/packages/placement/src/__tests__/unit/PlacementOrders.test.ts
@@ -75,7 +75,7 @@
     it(`a holder paused past its lease sends nothing after it resumes: ${name}`, async () => {
       // Guards against engines that revert to an old plan: the holder is paused, its lease lapses, a
       // successor places a newer manifest, and the holder resumes with overdue timers. It must not act
-      // on a reading of its lease from before the pause.
+      // on what it read of its lease before the pause.
       const bed = createPlacedBed(checksFencing);
       bed.start('a');
       await bed.run(20_000);
@@ -313,7 +313,8 @@
       correctedAt =
         bed.countMovesLeft() === 0 && bed.getHolding(late[0]?.engine ?? '') ? bed.timers.now() : 0;
     }
-    // Loading what the late order says, the age of reports, a tick, and loading the right layers again.
+    // The bound covers loading what the late order says, the age of reports, a tick, and loading the right
+    // layers again.
     const layers = (late[0]?.want?.layers.end ?? 0) - (late[0]?.want?.layers.first ?? 0);
     expect(correctedAt - resumedAt).to.be.above(0);
     expect(correctedAt - resumedAt).to.be.at.most(2 * layers * 200 + 3000 + 4000);
--- a/packages/proof/src/HistoryCallers.ts
+++ b/packages/proof/src/HistoryCallers.ts
@@ -58,7 +58,7 @@
   readonly instance: HistoryInstance;
   readonly id: string;
   handle: RequestHandle | null;
-  /** The caller got an ending. The request stays in the map so that a second ending is recorded too. */
+  /** The caller received an answer or error. The request stays in the map so that a second one is recorded too. */
   isEnded: boolean;
 }
 
--- a/packages/proof/src/HistoryChecker.ts
+++ b/packages/proof/src/HistoryChecker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a recorded history against the invariants of the system. It does not use the router:
- * it reads only what callers, engines, services and instances did, so a bug of the router cannot hide itself.
+ * Checks a recorded history against the invariants of the system. It does not use the router and reads only what
+ * callers, engines, services and instances did, so that a bug of the router cannot hide its own effects.
  */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { checkConfigRules } from './HistoryConfigRules.js';
--- a/packages/proof/src/HistoryFaults.ts
+++ b/packages/proof/src/HistoryFaults.ts
@@ -126,7 +126,7 @@
   }
 }
 
-/** Stops a process as on SIGTERM: it serves until the load balancer has noticed, drains, then ends. */
+/** Stops a process as on SIGTERM: it serves during the balancer lag, drains, then ends. */
 function stopProcess(world: HistoryWorld, id: string): void {
   const { timers, processes } = world;
   const stopping = processes.get(id);
--- a/packages/proof/src/HistoryInstance.ts
+++ b/packages/proof/src/HistoryInstance.ts
@@ -1,5 +1,5 @@
 /**
- * A simulated instance: the daemon's routing and the request router on fakes. Its timers and the callbacks
+ * A simulated instance: the daemon's routing and the request router with fake ports. Its timers and the callbacks
  * of its calls check whether it was killed, so that a killed instance neither acts nor receives anything.
  */
 import { createRandom } from '@skylarksail/core/CoreRandom';
@@ -135,7 +135,7 @@
   };
 }
 
-/** Wraps timers so that they no longer fire once their process is dead. */
+/** Wraps timers so that they no longer fire once their process was killed. */
 function createKillableTimers(timers: TimerService, isDead: () => boolean): TimerService {
   return {
     now: timers.now,
--- a/packages/proof/src/HistoryLoopback.ts
+++ b/packages/proof/src/HistoryLoopback.ts
@@ -281,7 +281,7 @@
   }));
   return {
     passes: [...work, ...frames],
-    // The service's ledger has an effect even if no answer arrived; it is then assigned by its key.
+    // The ledger contains an effect even if its answer was lost; the effect is then assigned to a request by its key.
     effects: effects.flat().map(({ request: id, key }) => {
       const name = names.get(id) ?? `${key}.0`;
       return { kind: 'effect' as const, at: submittedAt.get(name) ?? 0, request: name };
--- a/packages/proof/src/HistoryRunner.ts
+++ b/packages/proof/src/HistoryRunner.ts
@@ -1,4 +1,4 @@
-/** Runs a schedule against the real core in virtual time and returns the recorded history. */
+/** Runs a schedule against the product's own code in virtual time and returns the recorded history. */
 import type { Millis } from '@skylarksail/core/CoreTypes';
 import { submitManifest } from '@skylarksail/manifest/ManifestStore';
 import { HISTORY_PIPELINE, scheduleFaults } from './HistoryFaults.js';
--- a/packages/proof/src/HistoryWorld.ts
+++ b/packages/proof/src/HistoryWorld.ts
@@ -1,4 +1,4 @@
-/** The simulated fleet of a history: instances with claims and manifests on fakes, in one virtual time. */
+/** The simulated fleet of a history: instances with claims and manifests, on fakes that share one virtual clock. */
 import { createRandom } from '@skylarksail/core/CoreRandom';
 import type { Random } from '@skylarksail/core/CoreRandom';
 import type { VirtualTimers } from '@skylarksail/core/CoreTimers';
@@ -59,7 +59,7 @@
   readonly processes: ReadonlyMap<InstanceId, HistoryProcess>;
   record(event: HistoryEvent): void;
   startProcess(member: SpreadMember): void;
-  /** Ends a process at once, with its claims and its manifest node. */
+  /** Ends a process at once, with its claims and its manifest runner. */
   endProcess(id: InstanceId, kind: 'instance-killed' | 'instance-stopped'): void;
 }
 
--- a/packages/relay/src/RelayConfirm.ts
+++ b/packages/relay/src/RelayConfirm.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the store before a caller gets a not-found answer. The local copy can be older than the time in which a change
- * must be in force, by up to the length of a watch without changes, and callers don't retry after such an answer.
+ * Checks the store before a caller gets a not-found answer. Callers don't retry after such an answer, and the local
+ * copy may lack a change that must already be in force: it can be late by up to the length of a watch without changes.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -20,7 +20,7 @@
 /** Queries the store; `done` receives whether the local copy is current. */
 export type ConfirmCurrent = (done: (isCurrent: boolean) => void) => void;
 
-/** Timeout of the query; on expiry the caller is told to retry later. */
+/** Timeout of the query; on expiry the caller gets a retryable refusal. */
 const ANSWER_TIMEOUT: Millis = 400;
 /** Backoff after a failure, so that not every caller queries a failing store again. */
 const FAILURE_BACKOFF: Millis = 500;
--- a/packages/relay/src/RelayDuty.ts
+++ b/packages/relay/src/RelayDuty.ts
@@ -19,7 +19,7 @@
   const { self, lease, peers } = options;
 
   /**
-   * While no instance reaches the store, the last holder goes on placing. If it does not answer its peers, the domain's
+   * While no instance reaches the store, the last holder keeps placing. If it does not answer its peers, the domain's
    * first responsive instance by id places instead. Two instances that cannot reach each other may both place; an
    * engine then refuses an order whose order count differs from its own.
    */
--- a/packages/relay/src/RelayEngines.ts
+++ b/packages/relay/src/RelayEngines.ts
@@ -28,11 +28,14 @@
 /** How often engine loads are recalculated: as often as other instances report their work. */
 const REFRESH_PERIOD: Millis = 600;
 /**
- * Share of an engine's memory or slots in use from which the work of other instances decides whether the engine has
- * room.
+ * Share of memory or slots in use from which an engine counts as near its limit: whether it has room then depends on
+ * the work of other instances.
  */
 const CROWDED = 0.6;
-/** Less than half of the time without reports after which routing treats an engine as silent. */
+/**
+ * How often an engine without work is reported: less than half of the time without reports after which routing treats
+ * an engine as silent.
+ */
 const IDLE_REPORT_PERIOD: Millis = 2000;
 
 /** An engine's facts, with the inputs from which they were derived. */
@@ -151,7 +154,7 @@
     routing.setEngineLoads(loads);
   }
 
-  /** Limits reports of engines that stay without work: at most instances, most engines are idle. */
+  /** Limits reports of engines that stay without work, as most engines do from the view of a single instance. */
   function shouldReport(entry: BackendEntry, work: ExpectedWork, now: Millis): boolean {
     const before = idleReports.get(entry.id);
     if (work.running > 0) {
--- a/packages/relay/src/RelayFanout.ts
+++ b/packages/relay/src/RelayFanout.ts
@@ -30,7 +30,7 @@
 
 /** In a fleet of this size or less, all watch the store: sources would save few calls and delay each change. */
 const MAX_UNSHARED_FLEET = 10;
-/** With one dead and one cut off, the third still delivers a change in time. */
+/** If one has crashed and another is cut off, the third still delivers a change in time. */
 const WATCHER_COUNT = 3;
 /** With two, the loss of one costs each subscriber a single unanswered query. */
 const AGGREGATORS_PER_DOMAIN = 2;
@@ -90,7 +90,7 @@
 
 /** Changes come in bursts: forty engines that register within two seconds cause a few calls instead of forty. */
 const BATCH_TIME: Millis = 120;
-/** Longer at subscribers, on which no other instance depends: fewer calls by most of the fleet, at a small delay. */
+/** Longer, as no instance depends on a subscriber: most instances make fewer calls, at the cost of a small delay. */
 const SUBSCRIBER_BATCH_TIME: Millis = 300;
 
 export function createFanoutRoleCache(
--- a/packages/relay/src/RelayGrants.ts
+++ b/packages/relay/src/RelayGrants.ts
@@ -48,16 +48,16 @@
  */
 export const GRANT_LIFETIME: Millis = 2000;
 /**
- * Time that a new granter waits in addition to the window and the lifetime of a grant. It knows neither what its
- * predecessor has granted nor when the predecessor learns of the change.
+ * Time that a new granter waits in addition to the window and the lifetime of a grant. It has no record of the grants
+ * of its predecessor, which may not have detected the change yet and may still grant retries.
  */
 const TAKEOVER_MARGIN: Millis = 3000;
-/** Retries per request: the loss of an engine breaks several answers of an instance. */
+/** Number of retries to request at once: the loss of an engine breaks several answers of an instance. */
 const GRANT_BATCH = 3;
 const REQUEST_TIMEOUT: Millis = 150;
-/** Number of granters that a request tries, starting with the one of this instance's domain. */
+/** Maximum number of granters that a request tries, starting with the one of this instance's domain. */
 const MAX_GRANTERS = 3;
-/** Pause after all granters denied a request: a broken answer waits for half a second at a time. */
+/** Pause after all granters denied a request: a broken answer checks the retry budget again every half second. */
 const DENIED_BACKOFF: Millis = 400;
 const GRANTER_KEY = 'retry-grants';
 
--- a/packages/relay/src/RelayIntake.ts
+++ b/packages/relay/src/RelayIntake.ts
@@ -23,7 +23,7 @@
   readonly random: Random;
   readonly router: RequestRouter;
   readonly getTable: () => RouteTable | null;
-  /** Time since this instance last knew the whole content of the store. */
+  /** Time since the local copy was last in sync with the store. */
   readonly getStaleness: () => Millis;
   /** Time within which a change must be in force on all instances after its acknowledgement. */
   readonly changeTime: Millis;
@@ -61,10 +61,10 @@
 const NO_TEAM: TeamId = '';
 /** Time reserved before the caller's deadline so that the answer still reaches the caller. */
 const ANSWER_MARGIN: Millis = 20;
-/** Retry delay while no configuration is known: it arrives within a second or two after a start. */
+/** Retry delay while no configuration is in force: one arrives within a second or two after a start. */
 const NO_CONFIG_RETRY: Millis = 500;
 const DEFAULT_RETRY: Millis = 500;
-/** Staleness can be understated by this much: the delay of a store answer that stalled before its first byte. */
+/** Staleness can be understated by this much, the delay of a store answer that stalled before its first byte. */
 const STALENESS_ERROR: Millis = 700;
 /** Retry delay of a stale instance: it usually catches up within a second, and other instances are current. */
 const STALE_RETRY: Millis = 500;
@@ -75,7 +75,7 @@
  */
 const MAX_PATIENCE: Millis = 5000;
 const PATIENCE_SHARE = 0.3;
-/** Share of the caller's patience: the refusal must arrive before the caller leaves for good. */
+/** Share of the caller's patience that is used: a refusal must arrive before the caller leaves for good. */
 const CALLER_PATIENCE_SHARE = 0.85;
 const CHAIN_RETRY: Millis = 4000;
 /** An idempotent call is sent to another server after this many times the route's goal for the first answer. */
@@ -297,7 +297,7 @@
 }
 
 /**
- * Replaces a 404 or 401 with a 503, because other instances may already know the route or key. A caller gives up after
+ * Replaces a 404 or 401 with a 503, because other instances may already have the route or key. A caller gives up after
  * a 404 or 401 but retries after a 503, most likely at another instance.
  */
 function toRetryable(refusal: RelayRefusal): RelayRefusal {
--- a/packages/relay/src/RelayLease.ts
+++ b/packages/relay/src/RelayLease.ts
@@ -1,6 +1,6 @@
 /**
  * Registers this instance in the store and claims duties there. The entry and the duties are bound to leases, so the
- * store removes them after the instance dies. Callers check `holds` immediately before they act under a duty: it
+ * store removes them after the process ends. Callers check `holds` immediately before they act under a duty: it
  * returns false well before the lease can lapse, also after a pause of the process.
  */
 import { selectOwners } from '@skylarksail/core/CoreHash';
@@ -44,13 +44,13 @@
 const PLACEMENT_PREFIX = `${RELAY_KEY_PREFIX}placement/`;
 
 /**
- * How long the duties of a dead instance stay taken. With a shorter lease, a pause of one second would lose the duties.
+ * How long the duties of a crashed instance stay taken. With a shorter lease, a pause of one second would lose them.
  * With a longer one, a domain that lost an engine together with its placing instance would wait longer for the repair.
  */
 const DUTY_LEASE_TIME: Millis = 3000;
 const DUTY_RENEW_PERIOD: Millis = 900;
 /**
- * How long the entry of a dead instance stays registered. Nothing depends on its removal, because peers notice the
+ * How long the entry of a crashed instance stays registered. Nothing depends on its removal, because peers notice the
  * failure when they query the instance. Every instance renews its entry, so with a shorter lease the renewals would
  * be the larger part of a large fleet's calls to the store.
  */
@@ -70,7 +70,7 @@
  * if a domain's 39 instances claimed together, only one of the 39 writes would succeed.
  */
 const CLAIM_TURN_TIME: Millis = 300;
-/** Maximum number of turns that an instance waits, wherever it stands in the order. */
+/** Maximum number of turns that an instance waits, whatever its position in the order. */
 const MAX_CLAIM_TURNS = 8;
 const JITTER_SHARE = 0.3;
 
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Whether a domain is not this instance's own and has registered instances, which then place it. They go on placing
-   * while the domain is cut off, and instances elsewhere know its engines only as they were before.
+   * Whether a domain is not this instance's own and has registered instances, which then place it. They continue to do
+   * so while the domain is cut off and instances elsewhere have only outdated entries of its engines.
    */
   function belongsToOthers(domain: DomainId): boolean {
     return domain !== self.domain && getInstances().some((instance) => instance.domain === domain);
--- a/packages/relay/src/RelayMirror.ts
+++ b/packages/relay/src/RelayMirror.ts
@@ -38,7 +38,7 @@
   hasFullState(): boolean;
 }
 
-/** Most tombstones kept. Servers register and leave by the dozen; older removals no longer matter. */
+/** Maximum number of tombstones. Servers register and leave by the dozen; older removals no longer matter. */
 const MAX_TOMBSTONES = 1000;
 
 export function createMirror(): Mirror {
--- a/packages/relay/src/RelayParts.ts
+++ b/packages/relay/src/RelayParts.ts
@@ -87,7 +87,7 @@
   isReady(): boolean;
   /** Handles a change of this instance's settings. */
   noteSettingsChanged(): void;
-  /** Releases the duties and stops to serve as a source of updates; running requests continue. */
+  /** Releases the duties and stops serving as a source of updates; running requests continue. */
   startLeaving(): void;
   stop(): void;
 }
@@ -104,7 +104,7 @@
   readonly duties: number;
   /** Whether this instance reaches neither the store nor a peer that reaches it. */
   readonly isIsolated: boolean;
-  /** Time since this instance last knew the whole content of the store. */
+  /** Time since the local copy was last in sync with the store. */
   readonly newsAge: Millis;
 }
 
--- a/packages/relay/src/RelayPeerHttp.ts
+++ b/packages/relay/src/RelayPeerHttp.ts
@@ -63,7 +63,7 @@
   const codec = createPeerCodec();
   let stop = (): void => undefined;
 
-  /** Sends a query; null on any failure, and the caller asks the next peer. */
+  /** Sends a query; null on any failure, after which the caller asks the next peer. */
   async function send(
     { host, port }: HostPort,
     path: string,
--- a/packages/relay/src/RelayPeers.ts
+++ b/packages/relay/src/RelayPeers.ts
@@ -63,12 +63,12 @@
   isUnresponsive(peer: InstanceId): boolean;
 }
 
-/** A change must be in force within two seconds; a peer that is cut off too costs one of the attempts. */
+/** Allows several attempts in the two seconds within which a change must be in force; some peers may be cut off too. */
 const ROUND_INTERVAL: Millis = 300;
 const ASK_TIMEOUT: Millis = 250;
 const ROUND_JITTER = 0.3;
 const ASKS_PER_ROUND = 2;
-/** Six peers are asked in this time; at least one most likely reaches the store. */
+/** Six peers are asked in this time; unless the store is down for all, at least one most likely reaches it. */
 const ISOLATED_AFTER: Millis = 1000;
 
 export function createRelayPeers(options: RelayPeersOptions): RelayPeers {
@@ -95,7 +95,7 @@
     if (!peer?.address) {
       return;
     }
-    // From the complete revision, not the latest one seen: changes between them may be missing.
+    // Asks from the complete revision, not the latest one seen: changes between them may be missing.
     const askedAt = timers.now();
     const answer = await options.askPeer(peer.address, mirror.getCompleteRevision(), ASK_TIMEOUT);
     if (cancelRound === null || lossNumber !== lossCount) {
--- a/packages/relay/src/RelayReplanDelays.ts
+++ b/packages/relay/src/RelayReplanDelays.ts
@@ -9,8 +9,8 @@
 /** Time for a lost engine to return, or for a new one to register, before others take over its layers. */
 const GAP_GRACE: Millis = 1500;
 /**
- * The same if no engine was lost but one announced that it leaves: it does not return, and its chain is refused from
- * then on. Engines that leave together announce it within a few hundred milliseconds of each other.
+ * The same if no engine was lost but one announced that it leaves: it does not return, and refuses the requests of its
+ * chain from then on. Engines that leave together announce it within a few hundred milliseconds of each other.
  */
 const LEAVING_GRACE: Millis = 300;
 /** Time after the loss of an engine during which the longer grace period applies. */
--- a/packages/relay/src/RelayStaleness.ts
+++ b/packages/relay/src/RelayStaleness.ts
@@ -1,6 +1,6 @@
 /**
  * Staleness of the local copy: the time since it was last in sync with the store. An instance that does not detect
- * that its copy is stale answers 404 for new routes, and tells peers that there are no changes.
+ * that its copy is stale answers 404 for new routes, and answers peers that there are no changes.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { InstanceId, Millis } from '@skylarksail/core/CoreTypes';
--- a/packages/relay/src/RelayStoreReads.ts
+++ b/packages/relay/src/RelayStoreReads.ts
@@ -30,7 +30,7 @@
 const MAX_SHARED_WATCH: Millis = 1000;
 /**
  * After a longer loss, a snapshot is read instead of resuming the watch. A watch returns each key once per write:
- * after a series of large writes that is many times the size of the store, and may never arrive on a narrow link.
+ * after a series of large writes its answer is many times the size of the store, and may never arrive on a narrow link.
  */
 const MAX_RESUMED_LOSS: Millis = 1000;
 
--- a/packages/relay/src/RelaySuspension.ts
+++ b/packages/relay/src/RelaySuspension.ts
@@ -1,6 +1,6 @@
 /**
- * Detects that the whole process was suspended. The monotonic clock does not count that time, so stale data looks
- * fresh; the wall clock does. A wall clock that is set forward looks the same, and costs one query.
+ * Detects that the whole process was suspended. The wall clock counts that time, but the monotonic clock does not, so
+ * stale data appears fresh. A wall clock that is set forward is taken for a suspension too, which costs one query.
  */
 import type { TimerService } from '@skylarksail/core/CoreTimers';
 import type { Millis } from '@skylarksail/core/CoreTypes';
@@ -10,7 +10,10 @@
   getResumedAt(): Millis;
 }
 
-/** Clock drift between two checks is smaller, and a shorter pause hides no change for long. */
+/**
+ * Shortest pause that counts as a suspension: clock drift between two checks is smaller, and a shorter pause hides no
+ * change for long.
+ */
 const MIN_PAUSE: Millis = 300;
 
 /** `wallNow` returns wall-clock time in ms. */
--- a/packages/relay/src/RelayUnreadable.ts
+++ b/packages/relay/src/RelayUnreadable.ts
@@ -2,7 +2,7 @@
 import type { DaemonLogger } from '@skylarksail/daemon/DaemonLog';
 import type { DaemonMetrics } from '@skylarksail/daemon/DaemonMetrics';
 
-/** Most keys logged; more would displace other log lines. */
+/** Maximum number of keys logged; more would displace other log lines. */
 const MAX_LOGGED = 100;
 
 /** The returned function records a key whose entry could not be read, with the reason. */
--- a/packages/relay/src/RelayUpdates.ts
+++ b/packages/relay/src/RelayUpdates.ts
@@ -97,7 +97,7 @@
 const MAX_HOLD: Millis = 600;
 /**
  * Longest hold while engines of the own domain are near their limit. Instances that exchange their work less often see
- * the same free capacity and overfill it together. At all times, polls this frequent would cost more than requests.
+ * the same free capacity and overfill it together. Used always, such frequent polls would cost more than requests.
  */
 const MAX_CROWDED_HOLD: Millis = 200;
 /** Timeout of a query beyond its hold time; the source then counts as unresponsive. */
@@ -175,9 +175,9 @@
     since: number,
     wait: Millis,
   ): Promise<StoreChanges | null> {
-    // A source that did not answer last time is asked without a hold, so that a second failure causes no long delay.
     const work = options.readOwnWork();
     const maxHold = Math.min(wait, options.isCrowded() ? MAX_CROWDED_HOLD : MAX_HOLD);
+    // A source that did not answer last time is asked without a hold, so that a second failure causes no long delay.
     const hold = backoffUntil.has(source.id) ? 0 : maxHold;
     const { level } = options.getRole();
     const query = { since, hold, level, takesWhole: true, from: options.self, work };
--- a/packages/relay/src/RelayWork.ts
+++ b/packages/relay/src/RelayWork.ts
@@ -17,7 +17,7 @@
   readonly kvTokens: number;
 }
 
-/** The same for an engine that is known from the context. */
+/** Running work of one or more instances on an engine that is given elsewhere. */
 export type PeerWork = Omit<EngineWork, 'engine'>;
 
 /** A report of running work and lost engines, from an instance about itself or from an aggregator about its domain. */
--- a/packages/relay/src/__tests__/unit/RelayLargeConfig.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLargeConfig.test.ts
@@ -9,9 +9,9 @@
 /** Time after the end of a store fault in which a healthy instance must be in sync. */
 const RECOVERY_BOUND: Millis = 3000;
 const INSTANCES = 75;
-/** 1,400 more than usual. */
+/** Number of routes: 1,400 more than usual. */
 const ROUTES = 1640;
-/** Bytes per millisecond: 14 Mbit/s, the narrowest supported links, and 1,000 Mbit/s. */
+/** Link rates in bytes per ms: 14 Mbit/s at instances, the narrowest supported, and 1,000 Mbit/s at the store. */
 const INSTANCE_RATE = 1750;
 const STORE_RATE = 125_000;
 const SETTLE_TIME: Millis = 6000;
@@ -125,7 +125,7 @@
 
   it('reaches instances that the store refuses', async () => {
     const bed = await startFleet();
-    // Some instances of each domain, sources included.
+    // The store refuses some instances of each domain, sources included.
     const isRefused = (id: string): boolean => Number(id.slice(1)) % 4 === 0;
     bed.setCut(isRefused);
     await bed.timers.advanceToAsync(bed.timers.now() + 5000);
--- a/packages/relay/src/__tests__/unit/RelayLease.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayLease.test.ts
@@ -56,8 +56,8 @@
 
   it('passes on the duty of a cut-off holder only after the holder has stopped acting', async () => {
     // Guards against two instances that send orders to the same engines. The holder is cut off from the store, its
-    // lease lapses and another instance takes the duty. The first one must not go on acting because the state that it
-    // read last still names it as holder.
+    // lease lapses and another instance takes the duty. The first one must stop acting, although the state that
+    // it read last still names it as holder.
     const { timers, store, create } = createBed();
     const first = create('one', 'd1');
     await timers.advanceToAsync(2000);
--- a/packages/relay/src/__tests__/unit/RelayParts.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayParts.test.ts
@@ -178,7 +178,7 @@
 }
 
 describe('RelayParts', () => {
-  it('lets only the last placing instance go on while no instance reaches the store', async () => {
+  it('lets only the last placing instance continue while no instance reaches the store', async () => {
     // Guards against a domain that loses an engine during a store outage and has no chain until the store recovers.
     // The store is down for all instances and an engine starts to leave, but the placement duty ended with its
     // lease and no instance can take it.
@@ -197,8 +197,8 @@
   });
 
   it('lets another instance place when the last placing instance leaves or is killed', async () => {
-    // Guards against the same failure when the placing instance is stopped or killed during the outage, just before
-    // an engine leaves: the duty then stayed with an instance that does not act.
+    // Guards against the failure of the previous test when the placing instance is stopped or killed during the
+    // outage, just before an engine leaves: the duty then stayed with an instance that does not act.
     for (const isKilled of [true, false]) {
       const bed = createBed();
       ['one', 'two', 'three'].forEach((id) => bed.start(id));
--- a/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
+++ b/packages/relay/src/__tests__/unit/RelayUpdates.test.ts
@@ -205,8 +205,8 @@
   });
 
   it('delivers a change in time while some or all sources are dead or cut off from the store', async () => {
-    // Guards against healthy instances that use an old configuration for seconds: a source dies, or its connection to
-    // the store goes dead, and whoever depends on it gets the next configuration as late as it does.
+    // Guards against healthy instances that use an old configuration for seconds: a source crashes, or its connection
+    // to the store silently drops everything, and its subscribers get the next configuration as late as it does.
     for (const fault of ['isGone', 'isCut'] as const) {
       for (const count of [1, 2, 3]) {
         const { timers, store, listSources, getLongestDelay } = await startFleet();
--- a/packages/requests/src/AttemptRunner.ts
+++ b/packages/requests/src/AttemptRunner.ts
@@ -27,11 +27,11 @@
 
 interface SearchResult {
   readonly choice: ChainChoice;
-  /** Whether there are chains, but the answer would begin at none of them in time. */
+  /** Whether there are chains, but the answer would begin on none of them in time. */
   readonly isTooLate: boolean;
 }
 
-/** Maximum number of long queues that a search skips: each takes another search, and later ones are likely as long. */
+/** Maximum number of long queues to skip: each skip takes another search, and further queues are likely as long. */
 const MAX_LONG_QUEUES = 4;
 const ALL_FULL: ChainChoice = { kind: 'none', isFull: true, retryAfter: 0 };
 
@@ -98,7 +98,7 @@
       const isBegun = tokens.length > 0;
       const wish = { spec, contextTokens, isBegun, avoid: [...new Set([...avoid, ...avoidSet])] };
       const engines = broken?.stages.map((stage) => stage.engine) ?? [];
-      // Also replaces stages that other requests have lost in the meantime.
+      // Also replaces stages whose engines have been lost by other requests in the meantime.
       const lost = engines.filter((id) => failed.includes(id) || wish.avoid.includes(id));
       return broken !== null && lost.length < engines.length
         ? deps.chooseRepair({ ...wish, broken, failed: lost })
--- a/packages/requests/src/ModelRunner.ts
+++ b/packages/requests/src/ModelRunner.ts
@@ -109,7 +109,7 @@
     });
   }
 
-  /** Checks again if the timer fires late: after a pause of this process, an answer may still be unread. */
+  /** Checks again if the timer fires late: after a pause of this process, tokens may have arrived unread. */
   function schedulePatienceTimeout(dueAt: Millis): Unregister {
     if (dueAt === Infinity) {
       return () => undefined;
@@ -393,7 +393,7 @@
       send({ kind: 'hang-up' });
       return;
     }
-    // A keyed request that runs continues without its caller, so that a resend finds the answer.
+    // A running keyed request continues without its caller, so that a resend finds the answer.
     const hungUpListener = listener;
     listener = null;
     const hasTokens = machine.tokenCount > 0;
--- a/packages/requests/src/RequestAdmission.ts
+++ b/packages/requests/src/RequestAdmission.ts
@@ -126,7 +126,7 @@
     found?.listener.onRefused(computeRetryAfter(estimateWait(found.ask), now));
   }
 
-  /** Whether the request would end after its deadline even if it started now, and would waste a slot. */
+  /** Whether the request would end after its deadline even if it started now, and so would waste a slot. */
   function wouldMissDeadline(ask: AdmissionRequest, now: Millis): boolean {
     return now + ask.duration > ask.deadline;
   }
@@ -151,7 +151,7 @@
       return;
     }
     const measured = completedCost / elapsed;
-    // Windows without load say nothing about the capacity of the engines.
+    // Windows without load do not show the capacity of the engines.
     if (measured > 0 && (limit.reached || queue.size() > 0 || throughput === null)) {
       throughput =
         throughput === null ? measured : throughput + RATE_SMOOTHING * (measured - throughput);
--- a/packages/requests/src/RequestClaims.ts
+++ b/packages/requests/src/RequestClaims.ts
@@ -18,7 +18,7 @@
 /** Delay before a key whose earlier request is running is claimed again, here or by the caller. */
 export const RUNNING_RETRY_DELAY: Millis = 500;
 
-/** Maps the outcome of a claim to a decision. A reported run state says no more than is proven. */
+/** Maps the outcome of a claim to a decision. A problem reports only a run state that is proven. */
 export function decideClaim(outcome: ClaimOutcome): ClaimDecision {
   switch (outcome.kind) {
     case 'granted':
@@ -38,8 +38,8 @@
     case 'key-mismatch':
       return refuse(ProblemKind.KeyMismatch, RunState.NotRun, null);
     case 'key-expired':
-      // This request has not run, but an earlier one may have run with the same key before it
-      // expired, and the caller needs the state for the key.
+      // This request has not run, but an earlier one with the same key may have run before the key
+      // expired; the reported run state covers all requests with the key.
       return refuse(ProblemKind.KeyExpired, RunState.Unknown, null);
     case 'unavailable':
       return refuse(ProblemKind.ClaimUnavailable, RunState.NotRun, outcome.retryAfter);
--- a/packages/requests/src/RequestFailures.ts
+++ b/packages/requests/src/RequestFailures.ts
@@ -102,9 +102,9 @@
 }
 
 /**
- * Whether a stage after the first refused the request of the previous stage. Its engine is alive. If it were treated
- * as lost, an engine that has just loaded another version would get no new work for seconds, though it may be the
- * only one with its layers. If it were treated as crashed, the requests there would become poison suspects.
+ * Whether a stage after the first refused the request of the previous stage. The engine that refused is alive. If it
+ * were treated as lost, an engine that has just loaded another version would get no new work for seconds, though it
+ * may be the only one with its layers. If it were treated as crashed, its requests would become poison suspects.
  */
 export function isStageRefusal({ place, status }: AttemptFailure): boolean {
   return place === FailurePlace.Stage && status !== null;
@@ -154,7 +154,7 @@
 
 export type NextStepName = (typeof NextStep)[keyof typeof NextStep];
 
-/** Number of attempts on engines that were already dead before further ones need the retry budget. */
+/** Maximum number of consecutive attempts on dead engines that lead to a recovery; a later one needs a budgeted retry. */
 const MAX_DEAD_ENGINES = 8;
 
 /** Request state that decides what follows a failed attempt. */
@@ -164,7 +164,7 @@
   readonly fruitless: number;
   /** Whether the caller has received part of the answer. */
   readonly hasTokens: boolean;
-  /** Whether its wait for engines is still open; null if its number of attempts decides instead. */
+  /** Whether the request may still wait for engines; null if it has no `patience` and `fruitless` decides. */
   readonly isPatient?: boolean | null;
 }
 
--- a/packages/requests/src/RequestLimits.ts
+++ b/packages/requests/src/RequestLimits.ts
@@ -27,9 +27,9 @@
   readonly initial: number;
   readonly least: number;
   readonly most: number;
-  /** Target gap between tokens, to be met by 95 in 100. */
+  /** Target gap between tokens, to be met by 95 in 100 gaps. */
   readonly gapTarget: Millis;
-  /** Target time from submission to first token, to be met by 95 in 100. */
+  /** Target time from submission to first token, to be met by 95 in 100 requests. */
   readonly firstTokenTarget: Millis;
 }
 
--- a/packages/requests/src/RequestMachine.ts
+++ b/packages/requests/src/RequestMachine.ts
@@ -11,7 +11,7 @@
 import { dropFrame, endWith, failWith, getFirstTokenDeadline, keepState } from './RequestState.js';
 import { ProblemKind } from './RequestTypes.js';
 
-/** Handles one event. Events of an earlier attempt, or after the end, are only counted. */
+/** Handles one event. Frames of an earlier attempt, or after the end, are dropped and counted. */
 export function stepRequest(
   machine: RequestMachine,
   event: RequestEvent,
@@ -120,8 +120,7 @@
   if (machine.tokenCount === 0 && (isTooLate || !mayLookAgain(machine, isFull, now))) {
     return failWith(machine, ProblemKind.NoChain, retryAfter);
   }
-  // Avoiding every failed engine may leave none. The next choice may use them again: if one has recovered, a paused
-  // answer is better served by it than by none.
+  // Without the failed engines there may be no chain. The next choice may use them again, as some may have recovered.
   return {
     machine: { ...machine, phase: RequestPhase.Pausing, avoid: [] },
     effects: [{ kind: 'ask-retry', mode: 'rechoose', failed: [], retryAfter, fruitless: 1 }],
--- a/packages/requests/src/RequestMessages.ts
+++ b/packages/requests/src/RequestMessages.ts
@@ -94,7 +94,7 @@
   | { readonly kind: 'retry-refused'; readonly retryAfter: Millis | null }
   /** The retry budget is exhausted; the caller may retry on its own. */
   | { readonly kind: 'budget-spent'; readonly retryAfter: Millis }
-  /** The first token is due now, as the caller leaves soon after. */
+  /** No token has arrived by the first-token deadline; the caller leaves soon. */
   | { readonly kind: 'patience-over' }
   | { readonly kind: 'hang-up' }
   | { readonly kind: 'deadline' }
@@ -116,7 +116,7 @@
 
 export type GiveUpReasonName = (typeof GiveUpReason)[keyof typeof GiveUpReason];
 
-/** What the router is asked for: a recovery slot, a retry from the budget, or another chain choice. */
+/** What a request asks the router for: a recovery slot, a retry from the budget, or another chain choice. */
 export type RetryMode = 'recover' | 'retry' | 'rechoose';
 
 /** An action that the router carries out for the request. */
--- a/packages/requests/src/RequestPace.ts
+++ b/packages/requests/src/RequestPace.ts
@@ -31,8 +31,8 @@
   /** Between tokens. */
   readonly gap: SilenceBounds;
   /**
-   * Silence timeouts to tolerate while the other streams do not show which engine is at fault. With one chain per
-   * domain they never do, and the answer must continue elsewhere before its caller leaves.
+   * Number of silence timeouts to tolerate while the other streams do not show which engine is at fault. With one
+   * chain per domain they never do, and the answer must continue elsewhere before its caller leaves.
    */
   readonly mostUnclear: number;
   /** A stream with a smaller mean gap than this is never moved as slow. */
@@ -65,7 +65,7 @@
   };
 }
 
-/** Returns the silence after which a stream counts as stuck. */
+/** Returns the silence after which a stream counts as hung. */
 export function computeSilenceLimit(pace: Pace, bounds: SilenceBounds): Millis {
   const adaptiveLimit = Math.max(
     pace.mean * MEAN_FACTOR,
--- a/packages/requests/src/RequestPoison.ts
+++ b/packages/requests/src/RequestPoison.ts
@@ -55,11 +55,11 @@
   /** It was running at a crash: run it on other engines than the other suspects of that crash. */
   Suspect: 'suspect',
   /**
-   * It has reached the crash limit, but shares all its crashes with another suspect: hold new requests with
+   * It has reached the crash limit, but shares all its crashes with another suspect: delay new requests with
    * this content, and continue begun ones on separate engines.
    */
   Ambiguous: 'ambiguous',
-  /** It is the only common suspect, but late reports of other instances may add suspects: hold it. */
+  /** It is the only common suspect, but late reports of other instances may add suspects: delay it. */
   Doubted: 'doubted',
   /** It is the only common suspect of the crashes: refuse it. */
   Condemned: 'condemned',
@@ -73,7 +73,7 @@
 const MAX_CRASHES = 256;
 /** Time allowed for the reports of a crash from other instances to arrive. */
 const REPORT_DELAY: Millis = 500;
-/** A crash near this many crashes of unrelated engines is attributed to a common external cause. */
+/** A crash within this time of `OUTAGE_CRASHES` crashes of unrelated engines is attributed to an external cause. */
 const OUTAGE_WINDOW: Millis = 1000;
 const OUTAGE_CRASHES = 3;
 
--- a/packages/requests/src/RequestRecovery.ts
+++ b/packages/requests/src/RequestRecovery.ts
@@ -9,7 +9,7 @@
 /** An answer that waits for recovery. */
 export interface RecoveryEntry {
   readonly id: RequestId;
-  /** When its caller last received output, or when the request was admitted. */
+  /** When its caller last received a token, or when the request was admitted. */
   readonly waitingSince: Millis;
 }
 
--- a/packages/requests/src/RequestRouter.ts
+++ b/packages/requests/src/RequestRouter.ts
@@ -50,7 +50,7 @@
   mergePoison(digest: PoisonDigest): boolean;
   /** Records that an engine is alive with this boot id, so it has not crashed since that boot. */
   noteEngineAlive(engine: string, bootId: string): void;
-  /** Another instance found an engine lost: avoids it for a short time if there are other engines. */
+  /** Records that another instance has lost an engine, which is avoided for a short time if there are others. */
   noteEngineLost(engine: EngineId): void;
   getCounts(): RouterCounts;
   /** Stops the router's own timers. */
--- a/packages/requests/src/RequestState.ts
+++ b/packages/requests/src/RequestState.ts
@@ -18,7 +18,7 @@
   readonly submittedAt: Millis;
   /** Number of further engines that the request may run on. Engines lost during an attempt do not count. */
   readonly attemptsLeft: number;
-  /** End of the wait for engines that can take the request; null if it has no wait limit of its own. */
+  /** End of the wait for engines that can take the request; null if the request has no `patience`. */
   readonly patientUntil: Millis | null;
   /** Time by which the first token is due, as the caller leaves soon after; null if the caller stays. */
   readonly firstTokenDeadline: Millis | null;
--- a/packages/requests/src/RequestTypes.ts
+++ b/packages/requests/src/RequestTypes.ts
@@ -27,7 +27,7 @@
    */
   readonly patience?: Millis;
   /**
-   * Time without a token after which a partial answer is cut off, so that its caller can continue elsewhere. If
+   * Time without a token after which a partial answer is aborted, so that its caller can continue elsewhere. If
    * left out, the answer may stall until the deadline.
    */
   readonly breakAfter?: Millis;
@@ -41,7 +41,7 @@
 
 /** Why a request ended without a complete answer. */
 export const ProblemKind = {
-  /** The team's share is used up; the wait would exceed the deadline or the queue limit. */
+  /** The request would wait past its deadline, the queue is full, or the retry budget is exhausted. */
   Overloaded: 'overloaded',
   /** The deadline passed. */
   Deadline: 'deadline',
@@ -128,7 +128,7 @@
 
 /** The capacity that a choice reserved on its engines. */
 export interface ChainHold {
-  /** Called when the prompt has been processed. */
+  /** Called at the first token, when the prompt has been prefilled. */
   noteFirstToken(): void;
   /** Releases the reservation; called once, when the attempt is over. */
   release(outcome: AttemptOutcome): void;
--- a/packages/requests/src/RouterMeters.ts
+++ b/packages/requests/src/RouterMeters.ts
@@ -22,7 +22,7 @@
   getSilenceLimits(model: ModelId, contextTokens: number): SilenceLimits;
   /** Expected duration of a request once it runs; 0 until one was measured. */
   estimateDuration(model: ModelId, contextTokens: number, maxTokens: number): Millis;
-  /** Expected time to the first token of an attempt that reads `contextTokens`. */
+  /** Expected time to the first token of an attempt that prefills `contextTokens`. */
   estimateFirstToken(model: ModelId, contextTokens: number): Millis;
   /** Expected length of an answer, in tokens. */
   estimateLength(model: ModelId, maxTokens: number): number;
--- a/packages/requests/src/RouterShared.ts
+++ b/packages/requests/src/RouterShared.ts
@@ -66,7 +66,7 @@
   /** Retry budgets by model or service: calls to one must not fund retries at another. */
   readonly getBudget: (name: string) => RetryBudget;
   readonly setBudget: (name: string, budget: RetryBudget) => void;
-  /** Begun answers that wait for a model's retry budget: their callers hold a partial answer and can't go elsewhere. */
+  /** Begun answers that wait for a model's retry budget: their callers have a partial answer and can't go elsewhere. */
   readonly begunWaits: Map<RequestId, ModelId>;
   readonly isDraining: () => boolean;
   /** Share of the running requests whose answers are stalled. */
--- a/packages/requests/src/RouterTypes.ts
+++ b/packages/requests/src/RouterTypes.ts
@@ -28,7 +28,7 @@
    */
   readonly retryWindow: Millis;
   /**
-   * Whether recovery after the loss of an engine takes from the same budget. Off where engines can take
+   * Whether recovery after the loss of an engine takes from the retry budget. Off where engines can take
    * the load: the answers of a lost rack then continue at once.
    */
   readonly isRecoveryBudgeted: boolean;
@@ -152,7 +152,7 @@
   readonly claims: ClaimPort;
   /** Without it, silence that a slow link causes is attributed to engines. */
   readonly links?: LinkMonitor;
-  /** This instance's part of the retry burst of a model or service in the present fleet; `retryBurst` if omitted. */
+  /** This instance's part of the retry burst of a model or service at the present fleet size; `retryBurst` if omitted. */
   readonly getRetryBurst?: (name: string) => number;
   /** Whether a stalled answer that has begun may be aborted now; always allowed if omitted. */
   readonly mayBreakOff?: (submittedAt: Millis) => boolean;
@@ -163,9 +163,9 @@
   readonly getKvCapacity: () => number | null;
   /** Last reported boot id of an engine, or null. */
   readonly getBootId: (engine: EngineId) => string | null;
-  /** Whether an engine has announced that it leaves, or is no longer registered; never if omitted. */
+  /** Whether an engine has announced that it is leaving, or is no longer registered; never if omitted. */
   readonly isEnding?: (engine: EngineId) => boolean;
-  /** Receives engines that are silent during an answer that stays with them. */
+  /** Receives the silent engines of an attempt that continues because no other attempt can replace it. */
   readonly onSilent?: (engines: readonly EngineId[]) => void;
   readonly onDecision: (record: DecisionRecord) => void;
   readonly onCount: (metric: RouterMetric) => void;
--- a/packages/requests/src/RunBackoff.ts
+++ b/packages/requests/src/RunBackoff.ts
@@ -11,9 +11,9 @@
 const BUDGET_RECHECK_DELAY: Millis = 500;
 const RETRY_JITTER = 0.3;
 /**
- * Retry delay for a caller that has no part of its answer when the budget here is exhausted. The budget runs out
- * where engines were lost, and other engines hold their layers about three seconds later. A caller has few attempts:
- * one that retries sooner is likely to be refused again and to give up.
+ * Retry delay for a caller without a partial answer when the retry budget of this instance is exhausted. The budget is
+ * exhausted after a loss of engines, and other engines hold the lost layers about three seconds later. A caller makes
+ * few attempts: one that retries sooner is likely to be refused again and to give up.
  */
 const CALLER_RETRY_DELAY: Millis = 3000;
 /** Jitter, so that callers of one lost engine do not retry at the same time. */
@@ -36,7 +36,7 @@
   return jitter(random, BUDGET_RECHECK_DELAY, RETRY_JITTER);
 }
 
-/** Delay after which a caller whose request has not run may retry; that takes nothing from the budget here. */
+/** Delay after which a caller without a partial answer may retry; its retry is not charged to the budget. */
 export function computeCallerRetryDelay(random: Random): Millis {
   return jitter(random, CALLER_RETRY_DELAY, CALLER_RETRY_JITTER);
 }
--- a/packages/requests/src/RunBreak.ts
+++ b/packages/requests/src/RunBreak.ts
@@ -4,7 +4,7 @@
 import type { RequestSpec } from './RequestTypes.js';
 import type { RouterShared } from './RouterShared.js';
 
-/** Time at which a begun answer is aborted if it gives nothing more until then; Infinity if it must not be aborted. */
+/** Time at which a begun answer is aborted if no token arrives before; Infinity if it must not be aborted. */
 export function getBreakTime(
   { deps }: RouterShared,
   spec: RequestSpec,
--- a/packages/requests/src/RunFailover.ts
+++ b/packages/requests/src/RunFailover.ts
@@ -13,7 +13,7 @@
 export const FailoverBlocker = {
   /** The request has used all attempts that its route allows. */
   Attempts: 'attempts',
-  /** The retry budget is exhausted; other instances may lend a retry. */
+  /** The retry budget is exhausted; other instances may grant a retry. */
   Budget: 'budget',
   /** There is no complete chain without the engines to be replaced. */
   Chain: 'chain',
--- a/packages/requests/src/RunMove.ts
+++ b/packages/requests/src/RunMove.ts
@@ -43,7 +43,7 @@
   const { pace, chain, tokenCount } = machine;
   const isSettled = pace.samples >= MIN_SLOW_SAMPLES && now - machine.openedAt >= MIN_ATTEMPT_AGE;
   const isSlow = pace.mean > Math.max(shared.deps.cfg.silence.leastSlowGap, usualGap * SLOW_FACTOR);
-  // Limits concurrent moves: a move discards the stream's KV cache, and its prompt is read again.
+  // Limits concurrent moves: a move discards the stream's KV cache, and its prompt is prefilled again.
   const hasMoveCapacity =
     shared.recovery.countRunning() + shared.recovery.countWaiting() < MAX_MOVES;
   const isMovable = hasMoveCapacity && spec.idempotent && machine.phase === RequestPhase.Running;
@@ -57,14 +57,14 @@
   const isWorthwhile = tokensLeft * (pace.mean - usualGap) > MIN_MOVE_GAIN * cost;
   const slowest = shared.progress.findSlowest(chain, now);
   const isEngineToBlame = slowest !== null && slowest.bestGap > BLAME_FACTOR * usualGap;
-  // A move across a link that is known to be slow would only add to its load.
+  // The prefill of a move would only add to the load of a link that is known to be slow.
   const isLinkSlow = shared.deps.links?.isSlow(chain) ?? false;
   const isDue =
     !isLinkSlow && now >= since && (isEngineToBlame || now - since >= SLOW_LINK_TIMEOUT);
   if (!isWorthwhile || !isDue || !slowest) {
     return { slowSince: since, engine: null };
   }
-  // A slow answer that gives up its engines when no other attempt is possible fails or stalls.
+  // If no other attempt is possible, an answer that is taken from its slow engine fails or stalls.
   const blocker = findFailoverBlocker(shared, spec, machine, [slowest.engine], hasChainWithout);
   return blocker === null
     ? { slowSince: since, engine: slowest.engine }
--- a/packages/requests/src/RunQueue.ts
+++ b/packages/requests/src/RunQueue.ts
@@ -4,7 +4,7 @@
 import type { EngineId, Millis } from '@skylarksail/core/CoreTypes';
 import type { RouterShared } from './RouterShared.js';
 
-/** Maximum share of the time until an answer must begin that a queue may take; the rest is for prefill. */
+/** Maximum share of the time until an answer must begin for waiting in a queue; the rest is for prefill. */
 const MAX_QUEUE_SHARE = 0.5;
 
 /** A request that was sent to an engine and has produced no token yet. */
--- a/packages/requests/src/RunRetries.ts
+++ b/packages/requests/src/RunRetries.ts
@@ -38,7 +38,7 @@
 export interface RunRetries {
   /** Decides what follows a failed attempt. */
   ask(effect: AskRetry): void;
-  /** Asks other instances for a retry while the present attempt continues. */
+  /** Asks other instances for a retry while the present attempt continues; calls `onLent` if one is granted. */
   borrowRetry(onLent: () => void): void;
   /** Engines that failed in the previous attempt. */
   getFailedEngines(): readonly EngineId[];
--- a/packages/requests/src/RunSilence.ts
+++ b/packages/requests/src/RunSilence.ts
@@ -16,10 +16,10 @@
 const MAX_SLOW_LINK_SILENCES = 6;
 /** Consecutive silences tolerated when no stream has received a token through any engine of the chain. */
 const MAX_CHAIN_SILENCES = 1;
-/** Maximum share of stalled answers for which single engines are blamed. */
+/** Single engines are blamed only while the share of stalled answers is at most this. */
 const MAX_STALLED_SHARE = 0.7;
 
-/** Failure of an attempt that gives nothing. */
+/** Failure of an attempt that is silent or slow. */
 export const SILENCE_FAILURE: AttemptFailure = {
   place: FailurePlace.Silence,
   engine: null,
@@ -32,7 +32,7 @@
 export type SilenceDecision =
   /** The attempt has failed; replace these engines. */
   | { readonly kind: 'failed'; readonly suspects: readonly EngineId[] }
-  /** The attempt gets the same time again. */
+  /** The silence is tolerated, and the attempt gets another timeout. */
   | { readonly kind: 'borne' }
   /** No other attempt can replace it now; check again after `delay`. */
   | {
--- a/packages/requests/src/RunSuspicion.ts
+++ b/packages/requests/src/RunSuspicion.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** Clears a request of the crashes that it was present at. */
+/** Clears a request of the crashes of which it is a suspect. */
 export function clearCrashRecords(shared: RouterShared, fingerprint: Fingerprint): void {
   if (shared.getPoison().crashes.size > 0) {
     shared.setPoison(noteSurvival(shared.getPoison(), fingerprint));
@@ -39,8 +39,9 @@
 }
 
 /**
- * Records that a request was on an engine that crashed, and stops all its runs if that condemns it.
- * Requests that had run there for long are tracked separately from those that had just begun, which are few.
+ * Records that a request was running on an engine that crashed, and stops all runs of the request if it is
+ * now condemned. Requests that had run there for long are tracked separately from those that had just begun,
+ * which are few.
  */
 export function noteRunCrash(
   shared: RouterShared,
@@ -48,7 +49,7 @@
   engine: EngineId,
   attemptTokens: number,
 ): void {
-  // An engine that leaves ends its own streams. If that counted as a crash, two engines replaced one after the
+  // A leaving engine ends its own streams. If that counted as a crash, two engines replaced one after the
   // other would condemn a request that ran on both.
   if (shared.deps.isEnding?.(engine)) {
     return;
@@ -80,7 +81,7 @@
 /**
  * Sets of engines to avoid, to try in order. A set holds engines that were lost recently and, if the request
  * is a suspect, engines that run other suspects of the same crash, since suspects that share the next crash
- * cannot be told apart. Later sets are smaller: engines are few, and an innocent request must not wait for
+ * cannot be told apart. Later sets are smaller: engines are few, and a harmless request must not wait for
  * an engine of its own.
  */
 export function listAvoidSets(
--- a/packages/requests/src/RunWatch.ts
+++ b/packages/requests/src/RunWatch.ts
@@ -42,7 +42,7 @@
   const { spec, getMachine, attempts, retries, send, giveUp, log } = run;
   let cancelCheck: Unregister = () => undefined;
   let slowSince: Millis | null = null;
-  /** The last attempt for which a `hold` was logged: it stays with its silent engines. */
+  /** The last attempt for which a `hold` was logged, which says that it stays with its silent engines. */
   let heldAttempt = 0;
 
   function scheduleTick(delay: Millis): void {
@@ -57,8 +57,8 @@
   }
 
   /**
-   * The engines keep the answer but may be dead: reports them, so that health checks start and new requests avoid a
-   * single suspect.
+   * Reports engines that keep the answer but may be dead, so that health checks start and new requests avoid a single
+   * suspect.
    */
   function reportSilentEngines(suspects: readonly EngineId[]): void {
     const [engine] = suspects;
--- a/packages/requests/src/ServiceRunner.ts
+++ b/packages/requests/src/ServiceRunner.ts
@@ -312,7 +312,7 @@
   function cancel(): void {
     shared.post(() => {
       if (claim !== null && isOpen) {
-        // A keyed call that runs continues, so that a resend finds the answer.
+        // A running keyed call continues without its caller, so that a resend finds the answer.
         const hungUpListener = listener;
         listener = null;
         hungUpListener?.onError({
--- a/packages/requests/src/ServiceTypes.ts
+++ b/packages/requests/src/ServiceTypes.ts
@@ -20,7 +20,7 @@
   readonly idempotent: boolean;
   /**
    * How long an idempotent call waits for one server while another may still be tried; no limit if
-   * omitted. Without it, a server that loses an answer holds its caller until the deadline.
+   * omitted. Without it, a server that loses an answer keeps its caller waiting until the deadline.
    */
   readonly attemptTimeout?: Millis;
   /** Maximum number of backend servers that it may be sent to; no limit if omitted. */
--- a/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestAdmission.test.ts
@@ -65,7 +65,7 @@
 }
 
 describe('RequestAdmission', () => {
-  it('keeps goodput at three times the bound within 5% of goodput at the bound', () => {
+  it('keeps goodput at three times the capacity within 5% of goodput at the capacity', () => {
     // Guards against queueing requests that will have passed their deadlines by the time they run.
     const atBound = createSimulation();
     atBound.sendEvery(DURATION / SLOTS, { team: 't' });
@@ -77,7 +77,7 @@
     expect(ratio).to.be.within(0.95, 1.05);
   });
 
-  it('refuses requests that cannot meet their deadline early, with a retry delay', () => {
+  it('refuses early, and with a retry delay, requests that cannot meet their deadline', () => {
     // Guards against refusing a request only at its deadline although it never had a chance to run.
     const simulation = createSimulation();
     simulation.sendEvery(DURATION / SLOTS / 3, { team: 't' });
--- a/packages/requests/src/__tests__/unit/RequestFull.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestFull.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('Overloaded engines', () => {
-  it('refuses a request without budget at once with a retry delay, whatever its wait timeout', () => {
+  it('refuses a request without budget at once with a retry delay, whatever its patience', () => {
     // Guards against waiting for the retry budget until the caller disconnects; a resend would not need the budget.
     for (let patience = 50; patience <= 2000; patience += 50) {
       const world = createWorldWithoutRetries();
@@ -56,7 +56,7 @@
     expect(heard.problems).to.deep.equal([]);
   });
 
-  it('refuses a request at once if its next attempt would come after its wait timeout', () => {
+  it('refuses a request at once if its next attempt would come after the end of its patience', () => {
     // Guards against waiting for the retry delay of an overloaded engine until the caller has disconnected.
     const world = createFakeWorld({ cfg: { ...DEFAULT_ROUTER_CONFIG, retryBurst: 10 } }, ENGINES);
     const heard = world.submit('r', { patience: PATIENCE, breakAfter: PATIENCE });
@@ -66,7 +66,7 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('sends nothing to engines once the wait timeout has passed without a chain', () => {
+  it('sends nothing to engines once the patience has ended without a chain', () => {
     // Guards against a request that reaches engines in vain and is then reported as possibly run.
     const engines: string[][] = [['a1'], []];
     const world = createFakeWorld({}, engines);
@@ -102,8 +102,8 @@
     expect(world.last().call.request).to.equal('begun');
   });
 
-  it('does not break off a stalled answer during planned work', () => {
-    // Guards against breaking off an answer whose stall is caused by planned work.
+  it('does not abort a stalled answer during planned work', () => {
+    // Guards against aborting an answer whose stall is caused by planned work.
     for (const mayBreakOff of [true, false]) {
       const deps = { mayBreakOff: () => mayBreakOff };
       const world = createWorldWithoutRetries(deps);
--- a/packages/requests/src/__tests__/unit/RequestMachine.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestMachine.test.ts
@@ -77,7 +77,7 @@
 }
 
 describe('RequestMachine', () => {
-  it('runs on at most its maximum number of engines, not counting those that died during an attempt', () => {
+  it('runs on at most its maximum number of engines, not counting those lost during an attempt', () => {
     // Guards against not counting silent attempts, so that a request runs on more engines than its route allows.
     const silent = (n: number): RequestEvent => ({
       kind: 'failure',
@@ -112,7 +112,7 @@
     expect(runFailures([died, silent]).phase).to.equal('choosing');
   });
 
-  it('waits for engines until its wait limit, and then reports that it has not run', () => {
+  it('waits for engines until its patience ends, and then reports that it has not run', () => {
     const spec = { idempotent: true, maxTokens: MAX_TOKENS, patience: 100 };
     const none: RequestEvent = {
       kind: 'no-chain',
@@ -160,7 +160,7 @@
   });
 
   it('retries non-idempotent work only if it is proven not to have run', () => {
-    // Guards against treating a missing answer as proof that the work has not run, so that a receipt is written twice.
+    // Guards against treating a missing answer as proof that the work has not run, which would run it twice.
     const start: RequestEvent[] = [
       { kind: 'admitted' },
       { kind: 'chosen', chain, importFrom: [], limits },
@@ -214,7 +214,7 @@
     expect(end?.kind === 'fail' && end.problem.run).to.equal(RunState.Unknown);
   });
 
-  it('restarts the silence timer of a stream after its own process was paused', () => {
+  it('restarts the silence timer of a stream after a pause of the router process', () => {
     // Guards against treating a pause of the router's process as silence of all engines.
     const { machine } = runEvents(true, [
       { kind: 'admitted' },
--- a/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRecovery.test.ts
@@ -11,8 +11,8 @@
 } from './RequestFakes.js';
 
 describe('Recovery of an interrupted answer', () => {
-  it('continues after the last token on a chain with only the dead stage replaced', () => {
-    // Guards against an answer that restarts after a stage died, or that accepts a late frame of the failed attempt.
+  it('continues after the last token on a chain with only the failed stage replaced', () => {
+    // Guards against an answer that restarts after a stage failed, or that accepts a late frame of the failed attempt.
     const world = createFakeWorld();
     const heard = world.submit('r');
     const first = world.last();
@@ -96,7 +96,7 @@
     expect(call.isCancelled).to.equal(true);
   });
 
-  it('reports the paces of started streams, but skips a report after a pause of its own process', () => {
+  it('reports the paces of started streams, but skips a report after a pause of the router process', () => {
     // Guards against counting a pause of the router's process as silence of the streams, so that all links appear slow.
     const told: number[][] = [];
     const clock = createVirtualTimers();
@@ -125,7 +125,7 @@
     expect(told.length).to.equal(before + 1);
   });
 
-  it('recovers again after a replacement dies and the next chain refuses', () => {
+  it('recovers again after a replacement fails and the next chain refuses', () => {
     // Guards against recovering an answer only once, or retrying an engine before its `retryAfter` has passed.
     const world = createFakeWorld();
     const heard = world.submit('r');
--- a/packages/requests/src/__tests__/unit/RequestRouter.test.ts
+++ b/packages/requests/src/__tests__/unit/RequestRouter.test.ts
@@ -138,7 +138,7 @@
     expect(heard.problems.map(({ kind, run }) => [kind, run])).to.deep.equal([['hung-up', 'ran']]);
   });
 
-  it('bounds retries to a share of first tries while every engine refuses', () => {
+  it('bounds retries to a share of first attempts while every engine refuses', () => {
     // Guards against a retry storm that prolongs an outage.
     const world = createFakeWorld();
     for (let i = 0; i < 300; i++) {
--- a/packages/requests/src/__tests__/unit/RunEnds.test.ts
+++ b/packages/requests/src/__tests__/unit/RunEnds.test.ts
@@ -15,7 +15,7 @@
 
 const MAX_ATTEMPTS = 2;
 const CALLER_PATIENCE: Millis = 1700;
-/** Time in which instances exchange reports of which requests were present at a crash. */
+/** Time in which instances exchange reports of the requests that were running at a crash. */
 const CRASH_REPORT_TIME: Millis = 500;
 const STEP: Millis = 1;
 const DEADLINE: Millis = 20_000;
@@ -105,7 +105,7 @@
     const second = world.last();
     acknowledge(second);
     sendTokens(world, second, 0, 8);
-    // Another answer continues through all engines of that chain but one, so that this one alone is to blame.
+    // Another answer continues through all engines of that chain but one, which is therefore the only suspect.
     submit(world, 'other');
     const otherFirstCall = world.last();
     otherFirstCall.listener.onFailure(createFailure({ place: FailurePlace.Stage, engine: 'c2' }));
@@ -174,7 +174,7 @@
         const opened = world.last();
         acknowledge(opened);
         sendTokens(world, opened, heard.tokens.length, heard.tokens.length + tokensPerAttempt);
-        // The report that an engine leaves arrives before its end if the store is reachable.
+        // The report that an engine is leaving arrives before the engine ends if the store is reachable.
         leaving.add(listEngines(opened)[0] ?? '');
         endEngine(world);
       } else {
@@ -190,7 +190,7 @@
   }
 
   it('continues after one engine was silent and another has ended, in each order', () => {
-    // Guards against a silence that counts as a crash, and against an end that counts as an attempt.
+    // Guards against a silence that counts as a crash, and against an engine's end that counts as a spent attempt.
     for (const isSilentFirst of [true, false]) {
       for (const begun of [0, 8]) {
         const world = createWorld(4, { mayBreakOff: () => false });
--- a/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunPatienceSoak.test.ts
@@ -12,7 +12,7 @@
 const TOKENS = 10;
 const GAP: Millis = 30;
 const PATIENCE: Millis = 1700;
-/** Maximum delay of the error to a caller, caused by the step of the clock. */
+/** Tolerance for a late error to a caller, because the test's clock advances in steps. */
 const MAX_ERROR_DELAY: Millis = 50;
 /** Exceeds the patience of callers. */
 const MAX_QUEUE_TIME: Millis = 4000;
--- a/packages/requests/src/__tests__/unit/RunSilence.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilence.test.ts
@@ -15,7 +15,7 @@
 
 const MAX_ATTEMPTS = 2;
 const BREAK_AFTER: Millis = 1700;
-/** Exceeds any silence limit of an attempt, and is shorter than a deadline. */
+/** Exceeds any silence timeout of an attempt, and is shorter than a deadline. */
 const LONG_SILENCE: Millis = 15_000;
 
 const STEP: Millis = 10;
@@ -45,7 +45,7 @@
   }
 }
 
-/** Starts an answer whose first attempt gave nothing and whose second and last attempt gave `events` tokens. */
+/** Starts an answer whose first attempt produced no token and whose second and last attempt produced `events` tokens. */
 function beginOnLastAttempt(world: FakeWorld, events: number): [ReceivedAnswer, OpenedCall] {
   const heard = world.submit('r', { maxAttempts: MAX_ATTEMPTS, breakAfter: BREAK_AFTER });
   const first = world.last();
@@ -108,7 +108,7 @@
     expect(world.calls).to.have.length(1);
   });
 
-  it('continues on other engines as soon as another instance lends a retry', () => {
+  it('continues on other engines as soon as another instance grants a retry', () => {
     // Guards against an answer that stalls at dead engines although the fleet has retries left.
     let burst = 0;
     let askCount = 0;
@@ -207,7 +207,7 @@
 });
 
 describe('Patience of a caller without tokens', () => {
-  it('is respected where the silence limit is longer, on a first and on a second attempt', () => {
+  it('is respected where the silence timeout is longer, on a first and on a second attempt', () => {
     // Guards against a caller that leaves unserved because its request may stay silent in a queue for longer.
     const silence = {
       ...DEFAULT_ROUTER_CONFIG.silence,
--- a/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
+++ b/packages/requests/src/__tests__/unit/RunSilenceSoak.test.ts
@@ -17,7 +17,7 @@
 const STEP: Millis = 10;
 const END: Millis = 50_000;
 
-/** Gives the tokens of a call with pauses in between, until it is cancelled. */
+/** Sends the tokens of a call with pauses in between, until it is cancelled. */
 function serve(world: FakeWorld, random: Random, opened: OpenedCall): void {
   const { call, listener } = opened;
   const drawPause = (share: number): Millis =>
--- a/packages/requests/src/__tests__/unit/StageRefusal.test.ts
+++ b/packages/requests/src/__tests__/unit/StageRefusal.test.ts
@@ -11,8 +11,8 @@
 };
 
 describe('RequestFailures', () => {
-  // Guards against a refusing stage treated as dead, so that the only chain of a new version is avoided for seconds.
-  it('distinguishes a stage that refused from one that died', () => {
+  // Guards against treating a refusing stage as lost, so that the only chain of a new version is avoided for seconds.
+  it('distinguishes a stage that refused from one that was lost', () => {
     const refused = { ...STAGE_FAILURE, status: 409 };
     expect(isStageRefusal(refused)).to.equal(true);
     expect(isCrashLike(refused)).to.equal(false);
--- a/packages/routing/src/RoutingChoice.ts
+++ b/packages/routing/src/RoutingChoice.ts
@@ -80,7 +80,10 @@
 const NOT_HELD_RETRY_MS = 5000;
 /** Share of the load limit up to which this instance fills engines of another domain: local callers take precedence. */
 const FOREIGN_FILL = 0.9;
-/** Share of the load limit of the own domain for interrupted answers: no new request is admitted while they wait. */
+/**
+ * Share of the own domain's load limit for interrupted answers. It exceeds 1 because no new request is admitted while
+ * they wait.
+ */
 const INTERRUPTED_FILL = 1.1;
 const DEFAULT_ACTIVATION_BYTES = 16384;
 
--- a/packages/routing/src/RoutingCover.ts
+++ b/packages/routing/src/RoutingCover.ts
@@ -56,7 +56,7 @@
   return startingHere.length > 0 ? startingHere : options;
 }
 
-/** Tells whether the end is reachable from a layer; results are memoized. */
+/** Creates a memoized check of whether the end is reachable from a layer. */
 function createReachability(
   members: readonly PoolMember[],
   end: number,
--- a/packages/routing/src/RoutingHealth.ts
+++ b/packages/routing/src/RoutingHealth.ts
@@ -10,8 +10,9 @@
   readonly slowStartSince: Millis;
   /** Failures attributed to it since its last success. */
   readonly failures: number;
-  /** Exponentially smoothed time between tokens of its calls, and the number of samples. */
+  /** Exponentially smoothed time between tokens of its calls. */
   readonly gap: Millis;
+  /** Number of samples in `gap`. */
   readonly gapCount: number;
   /** End of the ejection, after which it is probed; null while it is not ejected. */
   readonly ejectedUntil: Millis | null;
@@ -67,7 +68,7 @@
     const isStable = now - health.slowStartSince > MAX_EJECTION_MS;
     return { ...health, failures: 0, ejections: isStable ? 0 : health.ejections };
   }
-  // A call that started before the ejection says nothing about the engine's present state.
+  // A call that started before the ejection does not show the engine's present state.
   return now < health.ejectedUntil
     ? health
     : { ...health, failures: 0, ejectedUntil: null, slowStartSince: now };
@@ -129,7 +130,7 @@
   };
 }
 
-/** Records the boot ID of an engine's process. An engine that keeps restarting is ejected. */
+/** Records the boot id of an engine's process. An engine that keeps restarting is ejected. */
 export function recordBoot(health: EngineHealth, bootId: string, now: Millis): EngineHealth {
   if (health.bootId === null) {
     return { ...health, bootId };
--- a/packages/routing/src/RoutingHops.ts
+++ b/packages/routing/src/RoutingHops.ts
@@ -23,15 +23,16 @@
   readonly lateShare: number;
   /** Number of own prompts that may cross it at once while it is considered slow; null while it is not. */
   readonly promptLimit: number | null;
-  /** When the limit was set, or last exceeded what the hop can carry. */
+  /** When the limit was set, or when the hop last had too many late streams. */
   readonly since: Millis;
 }
 
 /** A stream is late if it waits longer than this for a token: the latency target for 95 % of gaps. */
 const LATE_GAP: Millis = 78;
 const LATE_SMOOTHING = 0.4;
-/** Smoothed share of late streams from which on a hop is slow, and above which a slow hop admits no prompt. */
+/** A hop is considered slow once its smoothed share of late streams reaches this. */
 const SLOW_SHARE = 0.4;
+/** A slow hop admits no prompt while its smoothed share of late streams is above this. */
 const CLOSED_SHARE = 0.1;
 const CLEARED_SHARE = 0.02;
 const MIN_LATE = 3;
--- a/packages/routing/src/RoutingPools.ts
+++ b/packages/routing/src/RoutingPools.ts
@@ -35,7 +35,7 @@
   return pools.get(getPoolKey(variant.model, variant.version, domain));
 }
 
-/** Moves an engine to the pool of its present holding, or removes it if `after` is null. */
+/** Moves an engine to the pool of its present holding. Removes it if `after` is null or its duty is prefill only. */
 export function moveMember(
   pools: PoolIndex,
   before: PoolMember | null,
--- a/packages/routing/src/RoutingPrefixes.ts
+++ b/packages/routing/src/RoutingPrefixes.ts
@@ -12,7 +12,7 @@
   readonly tokens: number;
 }
 
-/** An engine whose process with this boot ID had a prefix in its cache. */
+/** An engine whose process with this boot id had a prefix in its cache. */
 export interface PrefixObservation {
   readonly engine: EngineId;
   readonly bootId: string | null;
--- a/packages/routing/src/RoutingScore.ts
+++ b/packages/routing/src/RoutingScore.ts
@@ -85,7 +85,7 @@
     mirrored === 0
       ? reported
       : reported + mirrored * getPoolShare(state, facts, layers, known.poolKey);
-  // As the report ages, each other instance is assumed to have as many calls as this one.
+  // As the report ages, the estimate approaches the own calls for each other instance.
   return own + reportWeight * Math.max(0, others) + (1 - reportWeight) * own * othersCount;
 }
 
--- a/packages/routing/src/RoutingState.ts
+++ b/packages/routing/src/RoutingState.ts
@@ -22,7 +22,7 @@
 
 /** Weight of the configured workload mix relative to observed calls, in answer tokens. */
 const PRIOR_MIX_TOKENS = 1000;
-/** An engine whose first report arrives within this time after the first of all was running before this instance. */
+/** An engine whose first report arrives within this time after the first of all is assumed to be no new engine. */
 const DISCOVERY_MS = 5000;
 
 export function createRoutingState(tuning: Partial<RoutingTuning> = {}): RoutingState {
@@ -162,7 +162,7 @@
   return { ...state, prefixes };
 }
 
-/** Records the boot ID of an engine: a new process is no longer leaving and begins a slow start. */
+/** Records the boot id of an engine: a new process is no longer leaving and begins a slow start. */
 function updateBoot(state: RoutingState, id: EngineId, bootId: string, now: Millis): RoutingState {
   const before = getHealth(state, id);
   if (before.bootId === bootId) {
--- a/packages/routing/src/RoutingTypes.ts
+++ b/packages/routing/src/RoutingTypes.ts
@@ -45,7 +45,7 @@
 export interface PlannedPool {
   readonly pool: Pool;
   readonly links: readonly LinkFacts[];
-  /** IDs of the engines that were excluded from it, joined by commas. */
+  /** Ids of the engines that were excluded from it, joined by commas. */
   readonly excluded: string;
   /** Workload mix that it was computed for. */
   readonly promptTokensPerToken: number;
@@ -81,8 +81,9 @@
   readonly poolCalls: ReadonlyMap<string, number>;
   /** Number of own calls in other domains. */
   readonly crossDomainCalls: ReadonlyMap<DomainId, number>;
-  /** Hops between racks with recent late streams, and the number of own prompts that are crossing each hop. */
+  /** Hops between racks with recent late streams. */
   readonly hops: ReadonlyMap<string, HopHealth>;
+  /** Number of own prompts that are crossing each hop between racks. */
   readonly hopPrompts: BucketMap<number>;
   readonly mix: WorkMix;
   readonly tuning: RoutingTuning;
@@ -95,8 +96,9 @@
   readonly maxTokens: number;
   /** Answer tokens for which memory is reserved, if fewer than `maxTokens`. */
   readonly answerTokens?: number;
-  /** Prefixes that the engines will cache, and the prompt tokens that were expected to be cached. */
+  /** Prefixes that the engines will cache. */
   readonly prefixKeys?: readonly PrefixKey[];
+  /** Prompt tokens that were expected to be cached. */
   readonly cachedTokens?: number;
 }
 
--- a/packages/routing/src/__tests__/unit/RoutingHealth.test.ts
+++ b/packages/routing/src/__tests__/unit/RoutingHealth.test.ts
@@ -101,7 +101,7 @@
   });
 
   // Guards against sending work to an engine in a crash loop: it crashes every minute, but answers in between,
-  // which clears its failures. A new boot ID must not clear its restarts.
+  // which clears its failures. A new boot id must not clear its restarts.
   it('ejects an engine that restarts repeatedly, longer each time', () => {
     let state = createGroup();
     const boot = (bootId: string, seenAt: Millis) => {
--- a/packages/store/src/StoreClient.ts
+++ b/packages/store/src/StoreClient.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Counts of calls, for metrics. `overBudget` and `heldBack` are calls that were not sent, because of the
- * local budget or of the open circuit.
+ * Counts of calls, for metrics. Calls that were not sent are counted as `overBudget` if the local budget
+ * was used up, and as `heldBack` if the circuit was open.
  */
 export interface StoreClientCounts {
   readonly sent: number;
--- a/packages/store/src/StorePort.ts
+++ b/packages/store/src/StorePort.ts
@@ -1,6 +1,6 @@
 /**
  * Port to the platform: its configuration service (get, compare-and-swap, leases, long-poll watches) and
- * its instance list, which lags. Adapters and fakes implement it.
+ * its instance list, which may be stale. Adapters and fakes implement it.
  * It does not cover the weight store: placement only uses that store's transfer rate.
  */
 import type { InstanceRoleName, LifeStateName } from '@skylarksail/core/CoreConstants';
--- a/packages/store/src/StoreRangeWatch.ts
+++ b/packages/store/src/StoreRangeWatch.ts
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Reads the range and returns the revision to watch from, or null if a read failed. It is the revision
-   * of the first page, since pages may be of different revisions.
+   * Reads the range and returns the revision to watch from, or null if a read failed. The watch starts at
+   * the revision of the first page, since later pages may be of later revisions.
    */
   async function readAll(): Promise<number | null> {
     const items: StoreItem[] = [];
@@ -101,8 +101,8 @@
   }
 
   async function watchOnce(revision: number): Promise<number | null> {
-    // While the store is lost, poll without waiting, so that its return is noticed at once and not when a
-    // watch without changes ends.
+    // While the store does not answer, each watch has a hold time of 0, so that the next answer is
+    // detected at once and not when a watch without changes ends.
     const holdTime = isLost ? 0 : wait;
     const outcome = await port.watchRange(prefix, revision, holdTime, {
       timeout: holdTime + timeout,
